--- a/src/decide/route/baseline.rs
+++ b/src/decide/route/baseline.rs
@@ -1,56 +1,64 @@
-//! The policies that cost is measured against.
+//! Baseline policies against which the cost policy is measured.
 
 use rand::RngExt;
 
-use super::{Ask, Pool, Replica, avoided};
+use super::{Ask, Pool, Replica, is_avoided};
 
 impl Pool {
-    pub(super) fn draw(
+    pub(super) fn draw_where(
         &mut self,
         ask: &Ask<'_>,
-        fits: impl Fn(usize, &Replica) -> bool,
+        is_eligible: impl Fn(usize, &Replica) -> bool,
     ) -> Option<usize> {
-        let open: Vec<usize> = (0..self.replicas.len())
+        let candidates: Vec<usize> = (0..self.replicas.len())
             .filter(|&at| {
                 let replica = &self.replicas[at];
-                !avoided(replica, ask) && fits(at, replica)
+                !is_avoided(replica, ask) && is_eligible(at, replica)
             })
             .collect();
-        if open.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
-        Some(open[self.rng.random_range(0..open.len())])
+        Some(candidates[self.rng.random_range(0..candidates.len())])
     }
 
-    pub(super) fn next_in_turn(&mut self, ask: &Ask<'_>) -> Option<usize> {
+    pub(super) fn pick_next_in_turn(
+        &mut self,
+        ask: &Ask<'_>,
+    ) -> Option<usize> {
         for _ in 0..self.replicas.len() {
-            self.turn = (self.turn + 1) % self.replicas.len();
-            if !avoided(&self.replicas[self.turn], ask) {
-                return Some(self.turn);
+            self.last_in_turn = (self.last_in_turn + 1) % self.replicas.len();
+            if !is_avoided(&self.replicas[self.last_in_turn], ask) {
+                return Some(self.last_in_turn);
             }
         }
         None
     }
 
-    pub(super) fn least_outstanding(
+    pub(super) fn pick_least_outstanding(
         &mut self,
         ask: &Ask<'_>,
     ) -> Option<usize> {
         let least = self
             .replicas
             .iter()
-            .filter(|replica| !avoided(replica, ask))
-            .map(|replica| replica.own)
+            .filter(|replica| !is_avoided(replica, ask))
+            .map(|replica| replica.own_in_flight)
             .min()?;
-        self.draw(ask, |_, replica| replica.own == least)
+        self.draw_where(ask, |_, replica| replica.own_in_flight == least)
     }
 
-    pub(super) fn power_of_two(&mut self, ask: &Ask<'_>) -> Option<usize> {
-        let first = self.draw(ask, |_, _| true)?;
-        let second = self.draw(ask, |at, _| at != first).unwrap_or(first);
+    pub(super) fn pick_less_loaded_of_two(
+        &mut self,
+        ask: &Ask<'_>,
+    ) -> Option<usize> {
+        let first = self.draw_where(ask, |_, _| true)?;
+        let second =
+            self.draw_where(ask, |at, _| at != first).unwrap_or(first);
         let load = |at: usize| {
             let replica = &self.replicas[at];
-            (replica.reported + replica.change).max(replica.own as f32)
+            (replica.reported_load + replica.own_change)
+                .max(replica.own_in_flight as f32)
         };
         Some(if load(second) < load(first) { second } else { first })
     }
--- a/src/decide/route/cost.rs
+++ b/src/decide/route/cost.rs
@@ -1,24 +1,25 @@
-//! The cost of each replica, and what it goes by.
+//! The cost policy: each replica's cost in ms, and the estimates behind it.
 
 use rand::RngExt;
 
-use super::{Ask, LEAST_FETCH, Pool, Replica, avoided};
+use super::{Ask, MIN_FETCH_TOKENS, Pool, Replica, is_avoided};
 use crate::util::mix;
 
-/// How often the level is found anew, in ms.
-const LEVEL_MS: u64 = 50;
-/// The weight of one stretch of time in the average rate.
-const RATE_SHARE: f32 = 0.05;
-/// How long a prompt that waits to be read stays that, in ms: what was known
-/// of the other entries' prompts says less and less over that time.
-const PENDING_MS: f32 = 300.0;
-/// Reports are never taken for older than this, in ms.
-const OLDEST_MS: f32 = 5000.0;
-/// The block whose hash decides where a prompt's home is: deep enough to
-/// tell packets apart that begin alike.
-const HOME_BLOCK: usize = 7;
-/// How many holders of a prefix are looked at.
-const HOLDERS: usize = 8;
+/// Interval at which the load floor is recomputed, in ms.
+const LOAD_FLOOR_INTERVAL_MS: u64 = 50;
+/// Weight of one interval in the moving average of the pick rate.
+const PICK_RATE_WEIGHT: f32 = 0.05;
+/// Time constant, in ms, with which the reported prompt tokens that a replica
+/// has yet to compute for other entries decay towards the average: a report
+/// says less about a replica's pending prompts as it ages.
+const PENDING_DECAY_MS: f32 = 300.0;
+/// Upper bound on the mean age of load reports, in ms.
+const MAX_MEAN_REPORT_AGE_MS: f32 = 5000.0;
+/// Index of the block whose hash selects a prompt's home replica. It is deep
+/// enough to distinguish long prompts that begin alike.
+const HOME_BLOCK_INDEX: usize = 7;
+/// Maximum number of prefix holders that are considered.
+const MAX_HOLDERS: usize = 8;
 
 impl Pool {
     pub(super) fn pick_by_cost(
@@ -26,31 +27,35 @@
         now: u64,
         ask: &Ask<'_>,
     ) -> Option<usize> {
-        self.picks += 1;
-        if now >= self.level_at + LEVEL_MS {
-            self.find_level(now);
+        self.picks_since_update += 1;
+        if now >= self.load_floor_at + LOAD_FLOOR_INTERVAL_MS {
+            self.update_load_floor(now);
         }
         self.match_prefix(ask);
-        // Each cost is worked out once: at many replicas the scan is all the
-        // time that a decision takes.
+        // Each cost is computed once: with many replicas the scan takes nearly
+        // all the time of a decision.
         let mut costs = std::mem::take(&mut self.costs);
         costs.clear();
         let all = self.replicas.iter();
         costs.extend(all.map(|replica| self.cost(now, replica, ask)));
-        let best = costs.iter().copied().fold(f32::INFINITY, f32::min);
-        let chosen = match best.is_finite() {
-            true => self.draw_near(&costs, best + self.weights.tolerance_ms),
+        let lowest = costs.iter().copied().fold(f32::INFINITY, f32::min);
+        let chosen = match lowest.is_finite() {
+            true => {
+                self.draw_within(&costs, lowest + self.weights.tolerance_ms)
+            }
             false => None,
         };
         self.costs = costs;
         chosen
     }
 
-    /// One of those whose cost is within the limit.
     ///
-    /// What is known for sure tells equals apart: the fewest of this entry's
-    /// own requests. Among those that are left it is drawn.
-    pub(super) fn draw_near(
+    /// Draws one of the replicas whose cost is at most `limit`.
+    ///
+    /// Prefers the replicas with the fewest requests of this entry in flight,
+    /// as that number is known exactly, and draws at random among those that
+    /// tie.
+    pub(super) fn draw_within(
         &mut self,
         costs: &[f32],
         limit: f32,
@@ -58,7 +63,7 @@
         self.ties.clear();
         let mut least = u32::MAX;
         for (at, cost) in costs.iter().enumerate() {
-            let own = self.replicas[at].own;
+            let own = self.replicas[at].own_in_flight;
             if *cost > limit || own > least {
                 continue;
             }
@@ -71,76 +76,90 @@
         match self.ties.len() {
             0 => None,
             1 => Some(self.ties[0]),
-            many => Some(self.ties[self.rng.random_range(0..many)]),
+            count => Some(self.ties[self.rng.random_range(0..count)]),
         }
     }
 
-    /// Pours what the others must have begun over the replicas.
-    pub(super) fn find_level(&mut self, now: u64) {
-        let passed = (now - self.level_at).min(10 * LEVEL_MS) as f32;
-        let rate = self.picks as f32 / passed.max(1.0);
-        self.rate += (rate - self.rate) * RATE_SHARE;
-        self.picks = 0;
-        self.level_at = now;
+    ///
+    /// Recomputes the load floor, by water-filling.
+    ///
+    /// Estimates how many requests the other entries have sent since the
+    /// replicas' last reports, and fills up the least loaded replicas with
+    /// them.
+    pub(super) fn update_load_floor(&mut self, now: u64) {
+        let elapsed_ms =
+            (now - self.load_floor_at).min(10 * LOAD_FLOOR_INTERVAL_MS) as f32;
+        let rate = self.picks_since_update as f32 / elapsed_ms.max(1.0);
+        self.picks_per_ms += (rate - self.picks_per_ms) * PICK_RATE_WEIGHT;
+        self.picks_since_update = 0;
+        self.load_floor_at = now;
         let mut age = 0.0;
         let mut others = 0.0;
         let mut pending = 0.0;
         for replica in &mut self.replicas {
-            let old = now.saturating_sub(replica.measured_at) as f32;
-            // Of the requests that a report counted, so many still run.
-            replica.trust = (-old / self.weights.hold_ms).exp();
-            age += old;
-            others += replica.others();
+            let report_age = now.saturating_sub(replica.measured_at) as f32;
+            // The share of a report's requests that is assumed to be still
+            // running.
+            replica.report_weight = (-report_age / self.weights.hold_ms).exp();
+            age += report_age;
+            others += replica.others_load();
             pending += replica.others_pending.0;
         }
-        self.usual_pending = pending / self.replicas.len().max(1) as f32;
-        age = (age / self.replicas.len().max(1) as f32).min(OLDEST_MS);
-        self.usual_others = others / (self.slots().max(1) as f32);
+        self.mean_others_pending_tokens =
+            pending / self.replicas.len().max(1) as f32;
+        age = (age / self.replicas.len().max(1) as f32)
+            .min(MAX_MEAN_REPORT_AGE_MS);
+        self.mean_others_per_slot = others / (self.slots().max(1) as f32);
         let mut slots: Vec<(f32, f32)> = Vec::new();
-        // What a limited replica gets follows from its limit, not its load.
+        // The number of requests sent to a rate-limited replica follows from
+        // its rate limit, not from its load.
         let unlimited =
-            self.replicas.iter().filter(|one| one.bucket.is_none());
+            self.replicas.iter().filter(|replica| replica.bucket.is_none());
         for replica in unlimited {
             let count = replica.identity.slots.max(1) as f32;
             slots.push((self.estimate(replica) / count, count));
         }
-        let unseen = self.rate * self.peers * age;
+        let unreported = self.picks_per_ms * self.peers * age;
         slots.sort_by(|one, other| one.0.total_cmp(&other.0));
-        self.level = pour(unseen, &slots);
+        self.load_floor = water_fill(unreported, &slots);
     }
 
-    /// Notes at each replica how much of the prompt it probably holds.
+    /// Sets how many tokens of the prompt each replica probably has cached.
     pub(super) fn match_prefix(&mut self, ask: &Ask<'_>) {
-        for at in self.matched.drain(..) {
-            self.replicas[at].matched = 0;
+        for at in self.matched_replicas.drain(..) {
+            self.replicas[at].matched_tokens = 0;
         }
-        self.known.clear();
+        self.holders.clear();
         let block = self.weights.block_tokens;
-        let Pool { index, replicas, places, matched, known, .. } = self;
-        index.holders(ask.blocks, HOLDERS, |number, count| {
-            if let Some(&Some(at)) = places.get(number as usize) {
+        let Pool {
+            index, replicas, positions, matched_replicas, holders, ..
+        } = self;
+        index.holders(ask.blocks, MAX_HOLDERS, |number, count| {
+            if let Some(&Some(at)) = positions.get(number as usize) {
                 let uniform = count * block;
                 let end = ask.ends.get(count as usize - 1);
                 let tokens = end.copied().unwrap_or(uniform);
-                replicas[at].matched = tokens;
-                matched.push(at);
-                known.push((at, tokens));
+                replicas[at].matched_tokens = tokens;
+                matched_replicas.push(at);
+                holders.push((at, tokens));
             }
         });
-        self.match_home(ask);
+        self.match_home_replica(ask);
     }
 
-    /// Counts a prompt that nobody is known to hold as held in part by its
-    /// home: the replica that a hash of prompt and replica picks.
     ///
-    /// All entries find the same home without a word between them, so the
-    /// first requests of one packet, coming in at many entries at once, meet
-    /// at one replica long before its cache events get round.
-    pub(super) fn match_home(&mut self, ask: &Ask<'_>) {
-        let Some(&key) = ask.blocks.get(HOME_BLOCK) else { return };
+    /// Assumes that the prompt's home replica holds a part of it when no
+    /// replica is known to hold at least half. The home replica is selected by
+    /// a hash of the prompt and the replica.
+    ///
+    /// All entries select the same home replica without communicating. The
+    /// first requests that share a long prefix, arriving at many entries at
+    /// once, so reach one replica long before its cache events propagate.
+    pub(super) fn match_home_replica(&mut self, ask: &Ask<'_>) {
+        let Some(&key) = ask.blocks.get(HOME_BLOCK_INDEX) else { return };
         let half = ask.tokens / 2;
-        let mut held = self.matched.iter();
-        if held.any(|&at| self.replicas[at].matched >= half) {
+        let mut matched = self.matched_replicas.iter();
+        if matched.any(|&at| self.replicas[at].matched_tokens >= half) {
             return;
         }
         let home = self
@@ -148,17 +167,17 @@
             .iter_mut()
             .enumerate()
             .filter(|(_, replica)| {
-                // One that takes few requests would keep other entries from
-                // the prompt that it holds.
-                !avoided(replica, ask)
+                // A rate-limited replica as the home would keep other entries
+                // away from the prompt that it holds.
+                !is_avoided(replica, ask)
                     && replica.is_serving()
                     && replica.bucket.is_none()
             })
-            .max_by_key(|(_, replica)| mix(key ^ replica.hash));
+            .max_by_key(|(_, replica)| mix(key ^ replica.id_hash));
         if let Some((at, home)) = home {
             let assumed = ask.tokens as f32 * self.weights.home;
-            home.matched = home.matched.max(assumed as u32);
-            self.matched.push(at);
+            home.matched_tokens = home.matched_tokens.max(assumed as u32);
+            self.matched_replicas.push(at);
         }
     }
 
@@ -168,64 +187,70 @@
         replica: &Replica,
         ask: &Ask<'_>,
     ) -> f32 {
-        if avoided(replica, ask)
+        if is_avoided(replica, ask)
             || !replica.is_serving()
-            || !replica.has_room(now)
+            || !replica.is_within_rate_limit(now)
         {
             return f32::INFINITY;
         }
         let weights = &self.weights;
         let identity = &replica.identity;
         let slots = identity.slots as f32;
-        let load = self.estimate(replica).max(self.level * slots);
-        // Whole requests: estimates are not good to a part of one, and a part
-        // would tell replicas apart that are as good as equal.
-        // By way of an integer: rounding a float is a call into the C library.
-        let over = (load + 1.5 - slots).max(0.0) as u32 as f32;
-        let queue = over / slots * self.weights.hold_ms;
+        let load = self.estimate(replica).max(self.load_floor * slots);
+        // Only whole requests above the slots count: the estimates are less
+        // precise than one request, and a fraction would distinguish replicas
+        // that are practically equal. The cast goes through an integer because
+        // rounding a float is a call into the C library.
+        let excess = (load + 1.5 - slots).max(0.0) as u32 as f32;
+        let queue = excess / slots * self.weights.hold_ms;
         let batch = load.min(slots) * weights.batch_ms;
-        let fresh = ask.tokens.saturating_sub(replica.matched);
-        let fetched = self.fetched(replica, ask);
+        let uncached = ask.tokens.saturating_sub(replica.matched_tokens);
+        let fetched = self.fetchable_tokens(replica, ask);
         let fetch =
             fetched as f32 * weights.fetch_ms.unwrap_or(weights.token_ms);
-        let fresh = (fresh - fetched) as f32 * weights.recompute;
-        let pending =
-            replica.pending_tokens + self.others_pending(now, replica);
-        let compute = (fresh + pending) * weights.token_ms + fetch;
-        let stall = match replica.quiet.iter().map(|(_, at)| *at).min() {
-            Some(at) => {
-                let age = now.saturating_sub(at) as f32;
-                let expected = compute
-                    + queue
-                    + replica.pending_tokens * weights.token_ms;
-                (age - expected).max(0.0)
-            }
-            None => 0.0,
-        };
-        let failed = replica.failed_until.saturating_sub(now) as f32 * 10.0
-            + replica.failing(now) * weights.failing_ms;
-        let mut cost = queue + batch + compute + stall + failed;
+        let uncached = (uncached - fetched) as f32 * weights.recompute;
+        let pending = replica.pending_tokens
+            + self.expected_others_pending(now, replica);
+        let compute = (uncached + pending) * weights.token_ms + fetch;
+        let stall_ms =
+            match replica.last_progress.iter().map(|(_, at)| *at).min() {
+                Some(at) => {
+                    let age = now.saturating_sub(at) as f32;
+                    let expected = compute
+                        + queue
+                        + replica.pending_tokens * weights.token_ms;
+                    (age - expected).max(0.0)
+                }
+                None => 0.0,
+            };
+        let failed = replica.penalty_until.saturating_sub(now) as f32 * 10.0
+            + replica.decayed_failure_rate(now) * weights.failing_ms;
+        let mut cost = queue + batch + compute + stall_ms + failed;
         if identity.reclaimable {
             cost += weights.reclaim_ms;
         }
-        if !replica.near {
+        if !replica.is_local {
             cost += weights.distance_ms;
         }
         cost + identity.price as f32 * weights.price_ms
     }
 
-    /// Prompt tokens that a replica has yet to read for other entries: as
-    /// reported, drawn towards the average by the age of the report.
-    fn others_pending(&self, now: u64, replica: &Replica) -> f32 {
+    /// Returns the estimated prompt tokens that a replica has yet to compute
+    /// for other entries: the reported number, which decays towards the
+    /// average as the report ages.
+    fn expected_others_pending(&self, now: u64, replica: &Replica) -> f32 {
         let (tokens, at) = replica.others_pending;
         let age = now.saturating_sub(at) as f32;
-        let trust = (-age / PENDING_MS).exp();
-        self.usual_pending + (tokens - self.usual_pending) * trust
+        let weight = (-age / PENDING_DECAY_MS).exp();
+        self.mean_others_pending_tokens
+            + (tokens - self.mean_others_pending_tokens) * weight
     }
 
-    /// The time to a first token, as far as it can be foretold.
     ///
-    /// Unlike the cost it weighs nothing: it is what a caller would wait.
+    /// Returns the predicted time to the first token, in ms.
+    ///
+    /// Unlike the cost, it contains no weights for price, distance or risk: it
+    /// is the time that a caller would wait.
     pub(super) fn first_token_ms(
         &self,
         now: u64,
@@ -233,56 +258,61 @@
         ask: &Ask<'_>,
     ) -> f32 {
         let weights = &self.weights;
-        let fresh = ask.tokens.saturating_sub(replica.matched);
-        let fetched = self.fetched(replica, ask);
-        let pending =
-            replica.pending_tokens + self.others_pending(now, replica);
-        let read = ((fresh - fetched) as f32 + pending) * self.bare_token_ms;
+        let uncached = ask.tokens.saturating_sub(replica.matched_tokens);
+        let fetched = self.fetchable_tokens(replica, ask);
+        let pending = replica.pending_tokens
+            + self.expected_others_pending(now, replica);
+        let compute =
+            ((uncached - fetched) as f32 + pending) * self.unloaded_token_ms;
         let fetch = fetched as f32 * weights.fetch_ms.unwrap_or(0.0);
         let slots = replica.identity.slots as f32;
         let load = self.estimate(replica);
-        let over = (load + 1.0 - slots).max(0.0);
-        read + fetch + over / slots * weights.hold_ms
+        let excess = (load + 1.0 - slots).max(0.0);
+        compute + fetch + excess / slots * weights.hold_ms
     }
 
-    /// Tokens of the prompt that a replica would fetch from another.
-    fn fetched(&self, replica: &Replica, ask: &Ask<'_>) -> u32 {
+    /// Returns how many tokens of the prompt a replica would fetch from
+    /// another replica.
+    fn fetchable_tokens(&self, replica: &Replica, ask: &Ask<'_>) -> u32 {
         if self.weights.fetch_ms.is_none() {
             return 0;
         }
-        let most = self.best_holder().map_or(0, |(_, count)| count);
-        let more = most.saturating_sub(replica.matched);
-        if more < LEAST_FETCH {
+        let longest = self.best_holder().map_or(0, |(_, count)| count);
+        let missing = longest.saturating_sub(replica.matched_tokens);
+        if missing < MIN_FETCH_TOKENS {
             return 0;
         }
-        more.min(ask.tokens.saturating_sub(replica.matched))
+        missing.min(ask.tokens.saturating_sub(replica.matched_tokens))
     }
 
-    /// Requests thought to be running or waiting at a replica now.
     ///
-    /// Its own are known; those of the others are as reported, drawn towards
-    /// the average by the age of the report.
+    /// Returns the estimated number of requests that run or wait at a replica.
+    ///
+    /// This entry's own requests are known. The number of the other entries'
+    /// requests is the reported one, which decays towards the average as the
+    /// report ages.
     pub(super) fn estimate(&self, replica: &Replica) -> f32 {
         let slots = replica.identity.slots as f32;
-        let usual = self.usual_others * slots;
-        let differs = replica.others() - usual;
-        replica.own as f32 + usual + differs * replica.trust
+        let mean = self.mean_others_per_slot * slots;
+        let deviation = replica.others_load() - mean;
+        replica.own_in_flight as f32 + mean + deviation * replica.report_weight
     }
 }
 
-/// The level to which `amount` fills vessels of (filled, width), sorted.
-fn pour(amount: f32, vessels: &[(f32, f32)]) -> f32 {
+/// Returns the level that `amount` reaches when it fills `vessels` of (filled
+/// level, width), which are sorted by filled level.
+fn water_fill(amount: f32, vessels: &[(f32, f32)]) -> f32 {
     let mut left = amount;
     let mut width = 0.0;
     let mut level = vessels.first().map_or(0.0, |vessel| vessel.0);
-    for &(filled, one) in vessels {
+    for &(filled, vessel_width) in vessels {
         let need = (filled - level) * width;
         if need > left {
             break;
         }
         left -= need;
         level = filled;
-        width += one;
+        width += vessel_width;
     }
     if width > 0.0 { level + left / width } else { level }
 }
--- a/src/decide/route/mod.rs
+++ b/src/decide/route/mod.rs
@@ -1,29 +1,31 @@
-//! Which replica a request goes to.
+//! Routing: selects the replica that a request is sent to.
 //!
-//! A [`Pool`] holds the replicas of one service. [`Pool::pick`] gives each a
-//! cost in milliseconds: the wait that it predicts, plus the time to
-//! recompute the part of the prompt that is not in the replica's cache, plus
-//! what the VM's price and the risk of its reclaim are worth. The cheapest
-//! wins; among those that are as good as equal, one is drawn at random.
+//! A [`Pool`] holds the replicas of one service. [`Pool::pick`] computes a
+//! cost in milliseconds for each of them: the predicted wait, the time to
+//! recompute the part of the prompt that is not in the replica's cache, and
+//! the weights of the VM's price and of the risk that it is reclaimed. The
+//! replica with the lowest cost is selected; among replicas of practically
+//! equal cost, one is drawn at random.
 //!
-//! # Load that is out of date
+//! # Outdated load reports
 //!
-//! Reports come late. A pool corrects each with what it knows itself: the
-//! requests that it has begun and ended since. What a report says of the other
-//! entries' requests is drawn towards the average as it ages, as those
-//! requests end and others begin. How many the others have begun since it
-//! can't know for each replica, but it can tell how many there must be: about
-//! its own rate, times their number, times the age of the reports. Poured
-//! over the replicas, emptiest first, so many requests fill them up to a
-//! level; and below that level reported loads say nothing any more. So they
-//! count as equal. Without that, all entries send to the one replica that
-//! looked idle in the last report.
+//! Load reports arrive late. A pool corrects each report by the requests that
+//! it has itself started and finished since. The reported number of the other
+//! entries' requests decays towards the average as the report ages, as those
+//! requests end and others start. How many requests the other entries have
+//! since sent to one replica is unknown, but a pool can estimate the total:
+//! its own rate, times the number of other entries, times the mean age of the
+//! reports. It distributes that total over the replicas by water-filling,
+//! least loaded replicas first. Below the resulting load floor, reported loads
+//! carry no information, so the replicas below it count as equally loaded.
+//! Without the floor, all entries would send to the one replica that was idle
+//! in the last report.
 //!
-//! # Replicas that went slow or silent
+//! # Slow and stalled replicas
 //!
-//! A replica is charged for the age of its oldest request that has shown no
-//! progress. One that has stalled so grows dearer by the millisecond, without
-//! a threshold to tune, and is cheap again with its first piece of answer.
+//! A replica is charged for the age of its oldest request without progress.
+//! The cost of a stalled replica so rises with every millisecond, without a
+//! threshold to tune, and falls again with the first piece of an answer.
 
 mod baseline;
 mod cost;
@@ -33,7 +35,7 @@
 use rand::{SeedableRng, rngs::StdRng};
 
 pub use self::weights::Weights;
-use self::{replica::Replica, weights::LEAST_FETCH};
+use self::{replica::Replica, weights::MIN_FETCH_TOKENS};
 use super::{
     prefix::Index,
     rate_limit::{Bucket, Part},
@@ -42,23 +44,23 @@
 
 common! {
     copy
-    /// How a pool decides.
+    /// How a pool selects replicas.
     pub enum Policy {
-        /// By predicted cost: the one in use.
+        /// Lowest predicted cost: the default.
         Cost,
-        /// Any replica.
+        /// A replica at random.
         Random,
-        /// One after the other.
+        /// Each replica in turn.
         RoundRobin,
-        /// Fewest requests of this entry under way.
+        /// Fewest of this entry's requests in flight.
         LeastOutstanding,
-        /// The less loaded of two drawn at random.
+        /// The less loaded of two replicas drawn at random.
         PowerOfTwo,
     }
 }
 
 impl Policy {
-    /// All of them, with their names in configurations.
+    /// All policies, with their names in configurations.
     pub const ALL: [(&'static str, Policy); 5] = [
         ("cost", Policy::Cost),
         ("random", Policy::Random),
@@ -67,7 +69,7 @@
         ("power-of-two", Policy::PowerOfTwo),
     ];
 
-    /// The policy of that name.
+    /// Returns the policy with that name.
     pub fn parse(name: &str) -> Option<Policy> {
         let found = Policy::ALL.iter().find(|(known, _)| *known == name);
         found.map(|(_, policy)| *policy)
@@ -75,79 +77,79 @@
 }
 
 common! {
-    /// What stays the same while a replica lives.
+    /// A replica's properties, as its endpoint announces them.
     pub struct Identity {
-        /// Its endpoint's id.
+        /// The endpoint's id.
         pub id: String,
-        /// Its endpoint's incarnation.
+        /// The endpoint's incarnation.
         pub incarnation: u64,
-        /// Where it is.
+        /// The data centre in which it runs.
         pub data_centre: String,
-        /// Requests that it runs at a time.
+        /// Maximum number of requests that it runs at a time.
         pub slots: u32,
         /// Whether its VM may be reclaimed.
         pub reclaimable: bool,
-        /// Thousandths of a cent an hour.
+        /// Price in thousandths of a cent an hour.
         pub price: u64,
-        /// What it is good for.
+        /// Whether it takes requests.
         pub standing: Standing,
     }
 }
 
 common! {
     copy
-    /// What a replica is good for.
+    /// Whether a replica takes requests.
     pub enum Standing {
         /// It takes requests.
         Serving,
-        /// It finishes what it has and gets nothing new; until it is gone,
-        /// others can fetch from its cache.
+        /// It finishes its requests and is sent no new ones. Until it has
+        /// departed, other replicas can fetch from its cache.
         Leaving,
-        /// It was not heard lately, and gets nothing. What it has cached is
-        /// remembered: heartbeats are often just late, and reading all that
-        /// again is dear.
+        /// No recent heartbeat; it is sent no requests. Its cached blocks are
+        /// kept in the prefix index: heartbeats are often only late, and
+        /// computing all these prompts again is expensive.
         Silent,
     }
 }
 
 common! {
-    /// A request, as far as routing goes.
+    /// The properties of a request that routing uses.
     pub struct Ask<'a> {
         /// Tokens in the prompt.
         pub tokens: u32,
-        /// The prompt's block hashes.
+        /// Block hashes of the prompt.
         pub blocks: &'a [u64],
-        /// Tokens up to the end of each block; empty when all blocks are of
-        /// the same size. A prompt that comes in small parts has blocks that
-        /// are far from full.
+        /// Cumulative tokens at the end of each block; empty if all blocks
+        /// have the same size. The blocks of a prompt that comes in small
+        /// parts are far from full.
         pub ends: &'a [u32],
-        /// Endpoints that it must not go to: id and incarnation.
+        /// Endpoints that the request must not be sent to: id and incarnation.
         pub avoid: &'a [(String, u64)],
     }
 }
 
 common! {
-    /// Where a request goes, and what is expected of it there.
+    /// The selected replica, with predictions for the request.
     pub struct Choice {
         /// The endpoint's id.
         pub id: String,
         /// The endpoint's incarnation.
         pub incarnation: u64,
-        /// Prompt tokens that are probably cached there.
+        /// Prompt tokens that the replica probably has cached.
         pub cached_tokens: u32,
-        /// Another endpoint that probably has much more of the prompt: the
-        /// chosen one should fetch it there.
+        /// Another endpoint that probably holds much more of the prompt, from
+        /// which the selected replica should fetch it.
         pub fetch_from: Option<String>,
-        /// Expected time to the first piece, in ms.
+        /// Predicted time to the first piece, in ms.
         pub predicted_ms: f32,
-        /// To be handed back with progress and end.
+        /// Identifies the request in later calls to the pool.
         pub ticket: Ticket,
     }
 }
 
 common! {
     copy
-    /// One request under way at one replica.
+    /// One request in flight at one replica.
     pub struct Ticket {
         number: u32,
         serial: u64,
@@ -166,50 +168,56 @@
     rng: StdRng,
     next_number: u32,
     next_serial: u64,
-    turn: usize,
+    last_in_turn: usize,
     peers: f32,
-    /// Where the replica of each number stands, if it is still there.
-    places: Vec<Option<usize>>,
-    /// The number of each replica by the hash of its id; sorted.
-    hashes: Vec<(u64, u32)>,
-    /// Replicas whose `matched` is not 0.
-    matched: Vec<usize>,
-    /// Of these, those that were sent the prompt's beginning: with the
-    /// tokens that they probably hold.
-    known: Vec<(usize, u32)>,
-    // Kept between decisions so that none has to allocate.
+    /// Index into `replicas` by replica number; `None` once the replica is
+    /// gone.
+    positions: Vec<Option<usize>>,
+    /// Replica numbers by the hash of the id; sorted.
+    numbers_by_hash: Vec<(u64, u32)>,
+    /// Indices of the replicas whose `matched_tokens` is not 0.
+    matched_replicas: Vec<usize>,
+    /// Indices of the replicas that the prefix index names as holders of the
+    /// prompt's beginning, with the tokens that they probably hold.
+    holders: Vec<(usize, u32)>,
+    // Buffers that are kept between picks, so that no pick allocates.
     costs: Vec<f32>,
     ties: Vec<usize>,
-    /// Load for each slot below which reports say nothing; see the head.
-    level: f32,
-    level_at: u64,
-    /// Requests of other entries for each slot, on average.
-    usual_others: f32,
-    /// Prompt tokens that a replica has yet to read for other entries, on
-    /// average.
-    usual_pending: f32,
-    /// Requests of this entry in a millisecond, on average.
-    rate: f32,
-    picks: u32,
-    /// Time that all prompts sent so far take to read, in ms.
+    /// Load per slot below which reported loads carry no information; see the
+    /// module documentation.
+    load_floor: f32,
+    load_floor_at: u64,
+    /// Mean number of the other entries' requests per slot.
+    mean_others_per_slot: f32,
+    /// Mean number of prompt tokens that a replica has yet to compute for
+    /// other entries.
+    mean_others_pending_tokens: f32,
+    /// Moving average of this entry's requests per ms.
+    picks_per_ms: f32,
+    picks_since_update: u32,
+    /// Time that one replica would take to compute all prompts sent so far, in
+    /// ms.
     work_ms: f64,
-    /// Milliseconds to read one token when nothing else is in the way.
-    bare_token_ms: f32,
+    /// Time to compute one prompt token on a replica without other work, in
+    /// ms.
+    unloaded_token_ms: f32,
 }
 
-/// Prompts with fewer fresh tokens say nothing about the speed.
-const LEARN_TOKENS: u32 = 256;
-/// From so many fresh tokens on the time to read them outweighs what every
-/// request takes anyhow.
-const BARE_TOKENS: u32 = 4096;
-/// The shortest time for a token is raised by this with every sample, so that
-/// it follows when all replicas have turned slower.
-const BARE_DRIFT: f32 = 1.002;
-/// The weight of one new holding time in the average.
-const HOLD_SHARE: f32 = 0.1;
+/// Minimum number of computed tokens for a prompt to count as a sample of the
+/// time per token.
+const MIN_SAMPLE_TOKENS: u32 = 256;
+/// Minimum number of computed tokens at which the time to compute them
+/// outweighs the fixed time of a request.
+const MIN_UNLOADED_SAMPLE_TOKENS: u32 = 4096;
+/// Factor by which the shortest time per token rises with every sample, so
+/// that it follows when all replicas become slower.
+const UNLOADED_DRIFT_FACTOR: f32 = 1.002;
+/// Weight of a new sample in the moving average of the time that a request
+/// holds its slot.
+const HOLD_TIME_WEIGHT: f32 = 0.1;
 
 impl Pool {
-    /// Starts empty. `seed` feeds the draws among equals.
+    /// Creates an empty pool. `seed` seeds the random draws.
     pub fn open(policy: Policy, weights: Weights, seed: u64) -> Pool {
         Pool {
             policy,
@@ -219,59 +227,65 @@
             rng: StdRng::seed_from_u64(seed),
             next_number: 0,
             next_serial: 0,
-            turn: 0,
+            last_in_turn: 0,
             peers: 0.0,
-            places: Vec::new(),
-            hashes: Vec::new(),
-            matched: Vec::new(),
-            known: Vec::new(),
+            positions: Vec::new(),
+            numbers_by_hash: Vec::new(),
+            matched_replicas: Vec::new(),
+            holders: Vec::new(),
             costs: Vec::new(),
             ties: Vec::new(),
-            level: 0.0,
-            level_at: 0,
-            usual_others: 0.0,
-            usual_pending: 0.0,
-            rate: 0.0,
-            picks: 0,
+            load_floor: 0.0,
+            load_floor_at: 0,
+            mean_others_per_slot: 0.0,
+            mean_others_pending_tokens: 0.0,
+            picks_per_ms: 0.0,
+            picks_since_update: 0,
             work_ms: 0.0,
-            bare_token_ms: weights.token_ms,
+            unloaded_token_ms: weights.token_ms,
         }
     }
 
-    /// Decides in another way from now on.
+    /// Sets the policy.
     pub fn set_policy(&mut self, policy: Policy) {
         self.policy = policy;
     }
 
-    /// What recomputing is worth beyond its time, as a factor.
+    /// Sets the factor on the time to recompute prompt tokens.
     pub fn set_recompute(&mut self, factor: f32) {
         self.weights.recompute = factor;
     }
 
-    /// How many other entries decide as this one does.
+    /// Sets the number of other entries that route by the same policy.
     pub fn set_peers(&mut self, peers: usize) {
         self.peers = peers as f32;
     }
 
-    /// Takes the list of replicas that may be given work.
     ///
-    /// Those that stay keep what is known of them.
-    pub fn set_replicas(&mut self, near: &str, list: &[Identity]) {
-        // Looked up before any is taken out: the old ones are sorted.
-        let known: Vec<Option<usize>> = list
+    /// Replaces the list of replicas.
+    ///
+    /// Replicas that were in the list before keep their state.
+    pub fn set_replicas(
+        &mut self,
+        local_data_centre: &str,
+        list: &[Identity],
+    ) {
+        // Resolved before any replica is taken out: the lookup needs the old
+        // list complete and sorted.
+        let old_positions: Vec<Option<usize>> = list
             .iter()
-            .map(|one| self.find(&one.id, one.incarnation))
+            .map(|identity| self.find(&identity.id, identity.incarnation))
             .collect();
         let old = std::mem::take(&mut self.replicas);
         let mut old: Vec<Option<Replica>> =
             old.into_iter().map(Some).collect();
-        for (identity, known) in list.iter().zip(known) {
-            let known = known.and_then(|at| old[at].take());
-            let replica = match known {
+        for (identity, old_position) in list.iter().zip(old_positions) {
+            let kept = old_position.and_then(|at| old[at].take());
+            let replica = match kept {
                 Some(replica) => {
                     Replica { identity: identity.clone(), ..replica }
                 }
-                None => self.new_replica(near, identity),
+                None => self.new_replica(local_data_centre, identity),
             };
             self.replicas.push(replica);
         }
@@ -280,24 +294,28 @@
         for gone in old.into_iter().flatten() {
             self.index.clear(gone.number);
         }
-        self.matched.clear();
-        self.known.clear();
-        self.places.clear();
-        self.places.resize(self.next_number as usize, None);
+        self.matched_replicas.clear();
+        self.holders.clear();
+        self.positions.clear();
+        self.positions.resize(self.next_number as usize, None);
         for (at, replica) in self.replicas.iter_mut().enumerate() {
-            replica.matched = 0;
-            self.places[replica.number as usize] = Some(at);
+            replica.matched_tokens = 0;
+            self.positions[replica.number as usize] = Some(at);
         }
-        let hashes = self.replicas.iter().map(|one| (one.hash, one.number));
-        self.hashes = hashes.collect();
-        self.hashes.sort_unstable();
+        let numbers = self
+            .replicas
+            .iter()
+            .map(|replica| (replica.id_hash, replica.number));
+        self.numbers_by_hash = numbers.collect();
+        self.numbers_by_hash.sort_unstable();
     }
 
-    /// Takes this entry's parts of the replicas' limits, sorted by replica;
-    /// replicas without one take any rate of requests.
+    /// Sets this entry's shares of the replicas' rate limits, sorted by
+    /// replica. Replicas without a share have no rate limit.
     pub fn set_limits(&mut self, now: u64, parts: &[Part]) {
         for replica in &mut self.replicas {
-            let found = position(parts, &replica.hash, |one| &one.replica);
+            let found =
+                position(parts, &replica.id_hash, |part| &part.replica);
             let Ok(at) = found else {
                 replica.bucket = None;
                 continue;
@@ -309,11 +327,13 @@
         }
     }
 
-    /// How many replicas that serve have named the rate that they take, and
-    /// that of all of them; `None` where none has.
+    /// Returns how many serving replicas have a rate limit, and the sum of
+    /// these limits; `None` if no serving replica has one.
     pub fn limited(&self) -> Option<(usize, f32)> {
-        let serving = self.replicas.iter().filter(|one| one.is_serving());
-        let limits = serving.filter_map(|one| Some(one.bucket?.limit()));
+        let serving =
+            self.replicas.iter().filter(|replica| replica.is_serving());
+        let limits =
+            serving.filter_map(|replica| Some(replica.bucket?.limit()));
         let (mut count, mut sum) = (0, 0.0);
         for limit in limits {
             count += 1;
@@ -322,13 +342,14 @@
         (count > 0).then_some((count, sum))
     }
 
-    /// How many other entries decide as this one does.
+    /// Returns the number of other entries that route by the same policy.
     pub fn peers(&self) -> f32 {
         self.peers
     }
 
-    /// Takes what may change while the replicas are the same: what each is
-    /// good for, in the order of their ids.
+    /// Updates the properties that may change while the list of replicas stays
+    /// the same: standing, slots and whether the VM is reclaimable, in the
+    /// order of the replicas' ids.
     pub fn set_standings(&mut self, standings: &[(Standing, u32, bool)]) {
         for (replica, standing) in self.replicas.iter_mut().zip(standings) {
             let identity = &mut replica.identity;
@@ -337,27 +358,29 @@
         }
     }
 
-    /// How many replicas there are.
+    /// Returns the number of replicas.
     pub fn len(&self) -> usize {
         self.replicas.len()
     }
 
-    /// True when there are none.
+    /// Returns true if there are no replicas.
     pub fn is_empty(&self) -> bool {
         self.replicas.is_empty()
     }
 
-    /// Slots of all replicas together.
+    /// Returns the number of slots of all replicas.
     pub fn slots(&self) -> u32 {
         self.replicas.iter().map(|replica| replica.identity.slots).sum()
     }
 
-    /// Requests thought to be running or waiting at all replicas.
+    /// Returns the estimated number of requests that run or wait at all
+    /// replicas.
     pub fn load(&self) -> f32 {
         self.replicas.iter().map(|replica| self.estimate(replica)).sum()
     }
 
-    /// Takes a load that was measured `age_ms` ago.
+    ///
+    /// Records a load that was measured `age_ms` ago.
     ///
     /// An age of 0 is for the load that comes with an answer.
     pub fn report(
@@ -375,20 +398,21 @@
             return;
         }
         replica.measured_at = measured_at;
-        replica.reported = load as f32;
-        replica.recent.retain(|(at, _)| *at >= measured_at);
-        replica.change = replica.recent.iter().map(|(_, one)| one).sum();
+        replica.reported_load = load as f32;
+        replica.recent_changes.retain(|(at, _)| *at >= measured_at);
+        replica.own_change =
+            replica.recent_changes.iter().map(|(_, change)| change).sum();
     }
 
-    /// Takes what the other entries have told of their own requests at a
-    /// replica: how many there are, and the prompt tokens that it has yet to
-    /// read for them.
     ///
-    /// `age_ms` is how old their word is on average. Taken for fresh, it
-    /// sends all entries to whichever replica had little to do a moment ago,
-    /// and to each new one at once: of seventy entries' requests, a fifth met
-    /// six others or more on their replica within 0.3 s where one in a
-    /// hundred would by chance.
+    /// Records the other entries' requests at a replica: their number, and the
+    /// prompt tokens that the replica has yet to compute for them.
+    ///
+    /// `age_ms` is the mean age of these reports. If they counted as current,
+    /// all entries would send to whichever replica was nearly idle a moment
+    /// ago, and to each new replica at once: of the requests of seventy
+    /// entries, a fifth met six or more others on their replica within 0.3 s,
+    /// where one in a hundred would by chance.
     pub fn report_others(
         &mut self,
         now: u64,
@@ -402,7 +426,8 @@
         }
     }
 
-    /// The same of the replica that stands at this place by its id.
+    /// Like [`Pool::report_others`], for the replica at index `at` in the
+    /// order of ids.
     pub fn report_others_at(
         &mut self,
         now: u64,
@@ -418,54 +443,56 @@
             return;
         }
         replica.measured_at = measured_at;
-        replica.recent.retain(|(at, _)| *at >= measured_at);
-        replica.change = replica.recent.iter().map(|(_, one)| one).sum();
-        let own_then = replica.own as f32 - replica.change;
-        replica.reported = load as f32 + own_then;
+        replica.recent_changes.retain(|(at, _)| *at >= measured_at);
+        replica.own_change =
+            replica.recent_changes.iter().map(|(_, change)| change).sum();
+        let own_at_report = replica.own_in_flight as f32 - replica.own_change;
+        replica.reported_load = load as f32 + own_at_report;
     }
 
-    /// Takes a cache event: blocks that a replica no longer has.
+    /// Handles a cache event: a replica has evicted blocks.
     pub fn evicted(&mut self, id: &str, incarnation: u64, blocks: &[u64]) {
         if let Some(at) = self.find(id, incarnation) {
             self.index.remove(self.replicas[at].number, blocks);
         }
     }
 
-    /// Takes a cache event: blocks that a replica has.
+    /// Handles a cache event: a replica has cached blocks.
     pub fn cached(&mut self, id: &str, incarnation: u64, blocks: &[u64]) {
         if let Some(at) = self.find(id, incarnation) {
             self.index.insert(self.replicas[at].number, blocks);
         }
     }
 
-    /// Notes blocks that other entries have sent to a replica.
+    /// Records blocks that other entries have sent to a replica.
     pub fn sent_elsewhere(&mut self, id_hash: u64, blocks: &[u64]) {
-        let found = position(&self.hashes, &id_hash, |(hash, _)| hash);
+        let found =
+            position(&self.numbers_by_hash, &id_hash, |(hash, _)| hash);
         if let Ok(at) = found {
-            self.index.insert(self.hashes[at].1, blocks);
+            self.index.insert(self.numbers_by_hash[at].1, blocks);
         }
     }
 
-    /// Chooses a replica and notes that the request goes there.
+    /// Selects a replica and counts the request as in flight there.
     pub fn pick(&mut self, now: u64, ask: &Ask<'_>) -> Option<Choice> {
         let at = match self.policy {
             Policy::Cost => self.pick_by_cost(now, ask),
-            Policy::Random => self.draw(ask, |_, _| true),
-            Policy::RoundRobin => self.next_in_turn(ask),
-            Policy::LeastOutstanding => self.least_outstanding(ask),
-            Policy::PowerOfTwo => self.power_of_two(ask),
+            Policy::Random => self.draw_where(ask, |_, _| true),
+            Policy::RoundRobin => self.pick_next_in_turn(ask),
+            Policy::LeastOutstanding => self.pick_least_outstanding(ask),
+            Policy::PowerOfTwo => self.pick_less_loaded_of_two(ask),
         }?;
-        Some(self.begin(now, at, ask))
+        Some(self.assign(now, at, ask))
     }
 
-    /// The request moved: a piece of its answer came.
+    /// Records a piece of the answer to a request.
     pub fn progress(&mut self, now: u64, ticket: Ticket, first: bool) {
         let Some(replica) = self.by_number(ticket.number) else { return };
-        let quiet = replica
-            .quiet
+        let found = replica
+            .last_progress
             .binary_search_by_key(&ticket.serial, |(serial, _)| *serial);
-        if let Ok(at) = quiet {
-            replica.quiet[at].1 = now;
+        if let Ok(at) = found {
+            replica.last_progress[at].1 = now;
         }
         if first {
             replica.pending_tokens =
@@ -474,25 +501,29 @@
         }
     }
 
-    /// Learns how fast prompts are computed from a first piece.
     ///
-    /// Waits make most samples too long, and nothing makes one too short; so
-    /// the average follows short samples fast and long ones slowly.
+    /// Updates the time per prompt token from the time to a first piece.
+    ///
+    /// Waiting makes most samples too long, and nothing makes a sample too
+    /// short. The average therefore follows short samples quickly and long
+    /// samples slowly.
     fn learn_token_ms(&mut self, now: u64, ticket: Ticket) {
-        if ticket.tokens < LEARN_TOKENS {
+        if ticket.tokens < MIN_SAMPLE_TOKENS {
             return;
         }
-        let took = now.saturating_sub(ticket.begun_at) as f32;
-        let sample = (took / ticket.tokens as f32).clamp(0.005, 5.0);
-        if ticket.tokens >= BARE_TOKENS {
-            self.bare_token_ms = sample.min(self.bare_token_ms * BARE_DRIFT);
+        let elapsed_ms = now.saturating_sub(ticket.begun_at) as f32;
+        let sample = (elapsed_ms / ticket.tokens as f32).clamp(0.005, 5.0);
+        if ticket.tokens >= MIN_UNLOADED_SAMPLE_TOKENS {
+            self.unloaded_token_ms =
+                sample.min(self.unloaded_token_ms * UNLOADED_DRIFT_FACTOR);
         }
-        let known = &mut self.weights.token_ms;
-        let share = if sample < *known { 0.3 } else { 0.02 };
-        *known += (sample - *known) * share;
+        let average = &mut self.weights.token_ms;
+        let weight = if sample < *average { 0.3 } else { 0.02 };
+        *average += (sample - *average) * weight;
     }
 
-    /// The request ended; `held_ms` is given when it ended well.
+    /// Records that a request has ended; `held_ms` is the time that it held
+    /// its slot, or `None` if it failed.
     pub fn end(
         &mut self,
         now: u64,
@@ -501,61 +532,67 @@
         held_ms: Option<f32>,
     ) {
         let Some(replica) = self.by_number(ticket.number) else { return };
-        replica.own = replica.own.saturating_sub(1);
-        replica.note(now, -1.0);
-        replica.quiet.retain(|(serial, _)| *serial != ticket.serial);
+        replica.own_in_flight = replica.own_in_flight.saturating_sub(1);
+        replica.record_change(now, -1.0);
+        replica.last_progress.retain(|(serial, _)| *serial != ticket.serial);
         if !started {
             replica.pending_tokens =
                 (replica.pending_tokens - ticket.tokens as f32).max(0.0);
         }
         match held_ms {
-            Some(held) => {
-                replica.judge(now, false);
-                let known = &mut self.weights.hold_ms;
-                *known += (held - *known) * HOLD_SHARE;
+            Some(hold_ms) => {
+                replica.record_outcome(now, false);
+                let average = &mut self.weights.hold_ms;
+                *average += (hold_ms - *average) * HOLD_TIME_WEIGHT;
             }
-            None => replica.judge(now, true),
+            None => replica.record_outcome(now, true),
         }
     }
 
-    /// The request ended for a reason that says nothing about the replica.
+    /// Records that a request has ended for a reason that says nothing about
+    /// the replica.
     pub fn abandon(&mut self, ticket: Ticket, now: u64, started: bool) {
         let Some(replica) = self.by_number(ticket.number) else { return };
-        replica.own = replica.own.saturating_sub(1);
-        replica.note(now, -1.0);
-        replica.quiet.retain(|(serial, _)| *serial != ticket.serial);
+        replica.own_in_flight = replica.own_in_flight.saturating_sub(1);
+        replica.record_change(now, -1.0);
+        replica.last_progress.retain(|(serial, _)| *serial != ticket.serial);
         if !started {
             replica.pending_tokens =
                 (replica.pending_tokens - ticket.tokens as f32).max(0.0);
         }
     }
 
-    /// The request was not sent after all.
+    /// Records that a request was not sent after all.
     pub fn take_back(&mut self, ticket: Ticket, now: u64) {
         self.abandon(ticket, now, false);
         let replica = self.by_number(ticket.number);
-        if let Some(bucket) = replica.and_then(|one| one.bucket.as_mut()) {
+        if let Some(bucket) =
+            replica.and_then(|replica| replica.bucket.as_mut())
+        {
             bucket.give_back();
         }
     }
 
-    /// Time that all prompts sent so far take one replica to read, in ms.
+    /// Returns the time that one replica would take to compute all prompts
+    /// sent so far, in ms.
     pub fn work_ms(&self) -> u64 {
         self.work_ms as u64
     }
 
-    /// This entry's requests under way at each replica, and the prompt tokens
-    /// that it has yet to read for them.
+    /// Returns, for each replica, its id, the number of this entry's requests
+    /// in flight there, and the prompt tokens that it has yet to compute for
+    /// them.
     pub fn own(&self) -> impl Iterator<Item = (&str, u32, u32)> {
         self.replicas.iter().map(|replica| {
             let pending = replica.pending_tokens as u32;
-            (replica.identity.id.as_str(), replica.own, pending)
+            (replica.identity.id.as_str(), replica.own_in_flight, pending)
         })
     }
 
-    /// The cost of one replica, as [`Pool::pick`] sees it.
     ///
-    /// For `explain` and for tests against the naive version.
+    /// Returns the cost of one replica as [`Pool::pick`] computes it.
+    ///
+    /// For tests that compare with a naive implementation.
     pub fn cost_of(
         &mut self,
         now: u64,
@@ -571,30 +608,30 @@
 
     // ---- Bookkeeping ------------------------------------------------------------
 
-    fn begin(&mut self, now: u64, at: usize, ask: &Ask<'_>) -> Choice {
+    fn assign(&mut self, now: u64, at: usize, ask: &Ask<'_>) -> Choice {
         if self.policy != Policy::Cost {
             self.match_prefix(ask);
         }
         let predicted_ms = self.first_token_ms(now, &self.replicas[at], ask);
-        let cached = self.replicas[at].matched.min(ask.tokens);
+        let cached = self.replicas[at].matched_tokens.min(ask.tokens);
         let serial = self.next_serial;
         self.next_serial += 1;
-        let source = self.source(at, cached);
+        let source = self.fetch_source(at, cached);
         let fetched = source.map_or(0, |from| {
-            self.replicas[from].matched.min(ask.tokens) - cached
+            self.replicas[from].matched_tokens.min(ask.tokens) - cached
         });
         let fetch_from =
             source.map(|from| self.replicas[from].identity.id.clone());
         let tokens = ask.tokens - cached - fetched;
-        self.work_ms += f64::from(tokens as f32 * self.bare_token_ms);
+        self.work_ms += f64::from(tokens as f32 * self.unloaded_token_ms);
         let replica = &mut self.replicas[at];
-        replica.own += 1;
+        replica.own_in_flight += 1;
         if let Some(bucket) = &mut replica.bucket {
             bucket.take(now);
         }
-        replica.note(now, 1.0);
+        replica.record_change(now, 1.0);
         replica.pending_tokens += tokens as f32;
-        replica.quiet.push((serial, now));
+        replica.last_progress.push((serial, now));
         let number = replica.number;
         let choice = Choice {
             id: replica.identity.id.clone(),
@@ -608,25 +645,32 @@
         choice
     }
 
-    /// The replica that holds most of the prompt, if it is worth a fetch.
-    fn source(&self, chosen: usize, cached: u32) -> Option<usize> {
+    /// Returns the index of the replica that holds most of the prompt, if
+    /// fetching from it is worthwhile.
+    fn fetch_source(&self, chosen: usize, cached: u32) -> Option<usize> {
         self.weights.fetch_ms?;
-        let (at, most) = self.best_holder()?;
-        (at != chosen && most >= cached + LEAST_FETCH).then_some(at)
+        let (at, held_tokens) = self.best_holder()?;
+        (at != chosen && held_tokens >= cached + MIN_FETCH_TOKENS)
+            .then_some(at)
     }
 
-    /// Who holds most of the prompt and can be fetched from, and how much.
+    /// Returns the index of the replica that holds most of the prompt and can
+    /// be fetched from, with the tokens that it holds.
     pub(super) fn best_holder(&self) -> Option<(usize, u32)> {
-        let sources = self.known.iter().copied().filter(|(at, _)| {
+        let sources = self.holders.iter().copied().filter(|(at, _)| {
             self.replicas[*at].identity.standing != Standing::Silent
         });
         sources.max_by_key(|(_, count)| *count)
     }
 
-    fn new_replica(&mut self, near: &str, identity: &Identity) -> Replica {
+    fn new_replica(
+        &mut self,
+        local_data_centre: &str,
+        identity: &Identity,
+    ) -> Replica {
         let number = self.next_number;
         self.next_number += 1;
-        Replica::new(number, near, identity)
+        Replica::new(number, local_data_centre, identity)
     }
 
     fn find(&self, id: &str, incarnation: u64) -> Option<usize> {
@@ -639,12 +683,12 @@
     }
 
     fn by_number(&mut self, number: u32) -> Option<&mut Replica> {
-        let at = self.places.get(number as usize).copied().flatten()?;
+        let at = self.positions.get(number as usize).copied().flatten()?;
         self.replicas.get_mut(at)
     }
 }
 
-fn avoided(replica: &Replica, ask: &Ask<'_>) -> bool {
+fn is_avoided(replica: &Replica, ask: &Ask<'_>) -> bool {
     let identity = &replica.identity;
     ask.avoid.iter().any(|(id, incarnation)| {
         *id == identity.id && *incarnation == identity.incarnation
--- a/src/decide/route/replica.rs
+++ b/src/decide/route/replica.rs
@@ -1,86 +1,99 @@
-//! One replica, as the pool of one entry sees it.
+//! One replica, as one entry's pool sees it.
 
 use super::{Identity, Standing};
 use crate::{decide::rate_limit::Bucket, util::name_hash};
 
-/// How long a replica that failed a request is passed over, in ms. Doubled
-/// with each failure after it was let back in, up to eight times that: each
-/// try costs a request its time.
-const FAILED_MS: u64 = 1000;
-/// Doublings of [`FAILED_MS`] at most.
-const STRIKES: u32 = 3;
-/// The weight of one more failure in the part that fails.
-const FAILURE_SHARE: f32 = 0.3;
-/// The weight of one more success. Lower, so that a replica that fails one
-/// request in three keeps standing out among those that fail none.
-const SUCCESS_SHARE: f32 = 0.1;
-/// In so many ms half of what is held against a replica is forgotten: one
-/// that gets no requests could not show otherwise that it has recovered.
-const FORGIVE_MS: f32 = 3000.0;
-/// How many beginnings and ends are remembered to correct a late report.
-const RECENT: usize = 256;
+/// Time for which a replica that failed a request costs more, in ms. It
+/// doubles with each failure after that time has passed, up to eight times the
+/// initial value, because each attempt at a failing replica costs a request
+/// its time.
+const FAILURE_PENALTY_MS: u64 = 1000;
+/// Maximum number of doublings of [`FAILURE_PENALTY_MS`].
+const MAX_PENALTY_DOUBLINGS: u32 = 3;
+/// Weight of a failure in the moving average of the failure rate.
+const FAILURE_WEIGHT: f32 = 0.3;
+/// Weight of a success in that average. It is lower than the weight of a
+/// failure, so that a replica that fails one request in three remains
+/// distinguishable from replicas that fail none.
+const SUCCESS_WEIGHT: f32 = 0.1;
+/// Time in which the failure rate halves, in ms: a replica that gets no
+/// requests could not show otherwise that it has recovered.
+const FAILURE_RATE_HALF_LIFE_MS: f32 = 3000.0;
+/// Maximum number of request starts and ends that are kept to correct a load
+/// report that arrives late.
+const MAX_RECENT_CHANGES: usize = 256;
 
 #[derive(Clone, Debug)]
 pub struct Replica {
     pub identity: Identity,
-    /// Stands for it in the prefix index; never used twice.
+    /// Identifies the replica in the prefix index; never reused.
     pub number: u32,
-    pub near: bool,
-    /// Running and waiting, as last reported.
-    pub reported: f32,
-    /// When that was measured.
+    pub is_local: bool,
+    /// Requests that run or wait, as last reported.
+    pub reported_load: f32,
+    /// When the reported load was measured, in ms.
     pub measured_at: u64,
-    /// Of this entry's requests, those begun since that report, less those
-    /// ended.
-    pub change: f32,
-    /// When this entry's latest requests began (+1) and ended (-1).
-    pub recent: Vec<(u64, f32)>,
-    pub own: u32,
-    /// Prompt tokens sent that have not led to a first piece yet.
+    /// This entry's requests that have started since that measurement, minus
+    /// those that have ended.
+    pub own_change: f32,
+    /// Times at which this entry's latest requests started (+1) and ended
+    /// (-1).
+    pub recent_changes: Vec<(u64, f32)>,
+    pub own_in_flight: u32,
+    /// Prompt tokens of this entry's requests that have not had a first piece
+    /// yet.
     pub pending_tokens: f32,
-    /// The same of the other entries, and when it was so.
+    /// Pending prompt tokens of the other entries' requests, and when they
+    /// were measured, in ms.
     pub others_pending: (f32, u64),
-    /// When each request without progress began or last moved.
-    pub quiet: Vec<(u64, u64)>,
-    pub failed_until: u64,
-    /// Times in a row that it failed after it had been let back in.
-    pub strikes: u32,
-    /// The part of its requests that failed lately, from 0 to 1.
-    pub failing: f32,
-    /// When `failing` last changed.
-    pub failing_at: u64,
-    /// How much of what the last report said still holds, from 0 to 1.
-    pub trust: f32,
-    pub matched: u32,
-    /// Of its id; the same at every entry.
-    pub hash: u64,
-    /// What this entry may still send, where the replica takes a limited rate
-    /// of requests.
+    /// Requests in flight by serial number, and when each of them started or
+    /// last made progress, in ms.
+    pub last_progress: Vec<(u64, u64)>,
+    pub penalty_until: u64,
+    /// Doublings of the next penalty: the failures in a row that each came
+    /// after the penalty for the one before had passed.
+    pub penalty_doublings: u32,
+    /// Moving average of the share of requests that fail, from 0 to 1.
+    pub failure_rate: f32,
+    /// When `failure_rate` last changed, in ms.
+    pub failure_rate_updated_at: u64,
+    /// Weight of the last report's load of other entries against the average,
+    /// from 0 to 1.
+    pub report_weight: f32,
+    pub matched_tokens: u32,
+    /// Hash of its id, which is the same at every entry.
+    pub id_hash: u64,
+    /// This entry's share of the replica's rate limit; `None` if the replica
+    /// has no rate limit.
     pub bucket: Option<Bucket>,
 }
 
 impl Replica {
-    /// Nothing is known of it yet.
-    pub fn new(number: u32, near: &str, identity: &Identity) -> Replica {
+    /// Creates a replica with no load and no history.
+    pub fn new(
+        number: u32,
+        local_data_centre: &str,
+        identity: &Identity,
+    ) -> Replica {
         Replica {
             identity: identity.clone(),
             number,
-            near: identity.data_centre == near,
-            reported: 0.0,
+            is_local: identity.data_centre == local_data_centre,
+            reported_load: 0.0,
             measured_at: 0,
-            change: 0.0,
-            recent: Vec::new(),
-            own: 0,
+            own_change: 0.0,
+            recent_changes: Vec::new(),
+            own_in_flight: 0,
             pending_tokens: 0.0,
             others_pending: (0.0, 0),
-            quiet: Vec::new(),
-            failed_until: 0,
-            strikes: 0,
-            failing: 0.0,
-            failing_at: 0,
-            trust: 1.0,
-            matched: 0,
-            hash: name_hash(&identity.id),
+            last_progress: Vec::new(),
+            penalty_until: 0,
+            penalty_doublings: 0,
+            failure_rate: 0.0,
+            failure_rate_updated_at: 0,
+            report_weight: 1.0,
+            matched_tokens: 0,
+            id_hash: name_hash(&identity.id),
             bucket: None,
         }
     }
@@ -89,48 +102,55 @@
         self.identity.standing == Standing::Serving
     }
 
-    /// False while it has had what it takes.
-    pub fn has_room(&self, now: u64) -> bool {
+    /// Returns false while this entry's share of the replica's rate limit is
+    /// used up.
+    pub fn is_within_rate_limit(&self, now: u64) -> bool {
         self.bucket.is_none_or(|bucket| bucket.has_room(now))
     }
 
-    /// Requests of other entries, as the last report had them.
-    pub fn others(&self) -> f32 {
-        let own_then = self.own as f32 - self.change;
-        (self.reported - own_then).max(0.0)
+    /// Returns the number of the other entries' requests in the last report.
+    pub fn others_load(&self) -> f32 {
+        let own_at_report = self.own_in_flight as f32 - self.own_change;
+        (self.reported_load - own_at_report).max(0.0)
     }
 
-    /// Notes how a request ended.
-    pub fn judge(&mut self, now: u64, failed: bool) {
-        self.failing = self.failing(now);
-        self.failing_at = now;
+    /// Records whether a request failed.
+    pub fn record_outcome(&mut self, now: u64, failed: bool) {
+        self.failure_rate = self.decayed_failure_rate(now);
+        self.failure_rate_updated_at = now;
         if !failed {
-            self.failing -= self.failing * SUCCESS_SHARE;
-            self.strikes = 0;
+            self.failure_rate -= self.failure_rate * SUCCESS_WEIGHT;
+            self.penalty_doublings = 0;
             return;
         }
-        self.failing += (1.0 - self.failing) * FAILURE_SHARE;
-        // Requests that were under way together fail together: one strike.
-        if now >= self.failed_until {
-            self.failed_until = now + (FAILED_MS << self.strikes);
-            self.strikes = (self.strikes + 1).min(STRIKES);
+        self.failure_rate += (1.0 - self.failure_rate) * FAILURE_WEIGHT;
+        // Requests that were in flight together fail together: one penalty.
+        if now >= self.penalty_until {
+            self.penalty_until =
+                now + (FAILURE_PENALTY_MS << self.penalty_doublings);
+            self.penalty_doublings =
+                (self.penalty_doublings + 1).min(MAX_PENALTY_DOUBLINGS);
         }
     }
 
-    /// The part of its requests that fails, with time's forgiveness.
-    pub fn failing(&self, now: u64) -> f32 {
-        if self.failing == 0.0 {
+    /// Returns the failure rate, decayed by the time since its last change.
+    pub fn decayed_failure_rate(&self, now: u64) -> f32 {
+        if self.failure_rate == 0.0 {
             return 0.0;
         }
-        let passed = now.saturating_sub(self.failing_at) as f32;
-        self.failing * (-passed / FORGIVE_MS * std::f32::consts::LN_2).exp()
+        let elapsed_ms =
+            now.saturating_sub(self.failure_rate_updated_at) as f32;
+        self.failure_rate
+            * (-elapsed_ms / FAILURE_RATE_HALF_LIFE_MS
+                * std::f32::consts::LN_2)
+                .exp()
     }
 
-    pub fn note(&mut self, now: u64, change: f32) {
-        self.change += change;
-        if self.recent.len() == RECENT {
-            self.recent.remove(0);
+    pub fn record_change(&mut self, now: u64, change: f32) {
+        self.own_change += change;
+        if self.recent_changes.len() == MAX_RECENT_CHANGES {
+            self.recent_changes.remove(0);
         }
-        self.recent.push((now, change));
+        self.recent_changes.push((now, change));
     }
 }
--- a/src/decide/route/weights.rs
+++ b/src/decide/route/weights.rs
@@ -1,42 +1,47 @@
-//! What the parts of a replica's cost are worth.
+//! Weights of the parts of a replica's cost.
 
 use crate::decide::prefix::{BLOCK_TOKENS, BLOCKS_PER_REPLICA};
 
-/// What the parts of the cost are worth.
+/// Weights of the parts of a replica's cost.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Weights {
-    /// Milliseconds to compute one token of a prompt, at first.
     ///
-    /// A pool learns it from the requests that it sends.
+    /// Initial time to compute one prompt token, in ms.
+    ///
+    /// A pool adjusts it by the requests that it sends.
     pub token_ms: f32,
-    /// What recomputing is worth beyond the time that it takes, as a factor.
+    /// Factor on the time to recompute prompt tokens that are not cached.
     pub recompute: f32,
-    /// Milliseconds that a request holds its slot, at first; learned.
     ///
-    /// One for the whole pool: a replica that happens to have had short
-    /// requests would else draw more than its part.
+    /// Initial time that a request holds its slot, in ms; adjusted by the
+    /// requests that a pool sends.
+    ///
+    /// All replicas of a pool share one value. With a value for each, a
+    /// replica that happened to have had short requests would draw more than
+    /// its share.
     pub hold_ms: f32,
-    /// Milliseconds that each running request adds to the next one's.
+    /// Time that each running request adds to the next one, in ms.
     pub batch_ms: f32,
-    /// Milliseconds that a reclaimable VM costs more.
+    /// Extra cost of a replica on a reclaimable VM, in ms.
     pub reclaim_ms: f32,
-    /// Milliseconds for each thousandth of a cent an hour.
+    /// Cost of each thousandth of a cent an hour of price, in ms.
     pub price_ms: f32,
-    /// Milliseconds for another data centre.
+    /// Extra cost of a replica in another data centre, in ms.
     pub distance_ms: f32,
-    /// Costs that differ by less count as equal.
+    /// Difference up to which costs count as equal, in ms.
     pub tolerance_ms: f32,
-    /// How much of a prompt that nobody is known to hold its home is assumed
-    /// to hold, from 0 to 1.
+    /// Share of a prompt that its home replica is assumed to hold when no
+    /// replica is known to hold at least half of it, from 0 to 1.
     pub home: f32,
-    /// Tokens of prompt in a block.
+    /// Prompt tokens in a block.
     pub block_tokens: u32,
-    /// Blocks remembered for one replica.
+    /// Maximum number of blocks that the prefix index remembers for one
+    /// replica.
     pub blocks: u32,
-    /// Milliseconds that a replica costs more that fails all its requests.
+    /// Extra cost of a replica that fails all its requests, in ms.
     pub failing_ms: f32,
-    /// Milliseconds to fetch one token of a cached prompt from another
-    /// replica; `None` where replicas can't.
+    /// Time to fetch one token of a cached prompt from another replica, in ms;
+    /// `None` if replicas cannot fetch from each other.
     pub fetch_ms: Option<f32>,
 }
 
@@ -60,5 +65,6 @@
     }
 }
 
-/// Tokens that are not worth a fetch: it takes some milliseconds by itself.
-pub(super) const LEAST_FETCH: u32 = 1024;
+/// Minimum number of prompt tokens that are worth a fetch: each fetch takes
+/// some milliseconds, whatever its size.
+pub(super) const MIN_FETCH_TOKENS: u32 = 1024;
