--- a/src/decide/prefix.rs
+++ b/src/decide/prefix.rs
@@ -1,28 +1,32 @@
-//! Which replicas probably hold which prompt prefixes in their cache.
+//! Prefix index: which replicas probably have which prompt prefixes cached.
 //!
-//! A prompt is cut into blocks; each block's hash covers everything before it
-//! too, so that two prompts share a hash exactly when they share that whole
-//! prefix. [`Index`] remembers which replicas were sent a block lately. It is
-//! a guess: engines evict, and their cache events come late and with gaps.
-//! A wrong guess costs some recomputed tokens, never a wrong answer.
+//! A prompt is divided into blocks. The hash of a block covers all blocks
+//! before it, so two prompts share a hash exactly when they share that whole
+//! prefix. [`Index`] records which replicas were recently sent a block. The
+//! record is approximate: engines evict blocks, and their cache events arrive
+//! late and incompletely. A wrong entry costs recomputed tokens and never
+//! leads to a wrong answer.
 //!
-//! The index is a row of shards, each a sorted vector; one big vector would
-//! spend its time moving the tail at every insertion.
+//! The index consists of shards, each of which is a sorted vector. A single
+//! large vector would spend most of its time moving the elements behind every
+//! insertion.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// Tokens in a block.
 pub const BLOCK_TOKENS: u32 = 64;
-/// Bytes of prompt in a block: about four a token.
+/// Bytes of prompt in a block, at about four bytes a token.
 pub const BLOCK_BYTES: usize = 256;
-/// Blocks remembered for one replica.
 ///
-/// Half of them are forgotten when it is full, the oldest ones.
+/// Maximum number of blocks recorded for one replica.
+///
+/// When a replica exceeds it, the older half of its blocks is evicted.
 pub const BLOCKS_PER_REPLICA: u32 = 4096;
 
-const SHARDS: usize = 256;
+const SHARD_COUNT: usize = 256;
 
-/// The hashes of a prompt's whole blocks, each covering all before it.
+/// Returns the hashes of the complete blocks of a prompt. Each hash covers all
+/// blocks up to its own.
 pub fn blocks(prompt: &[u8]) -> Vec<u64> {
     let mut hasher = DefaultHasher::new();
     prompt
@@ -38,17 +42,18 @@
 struct Holding {
     block: u64,
     replica: u32,
-    used: u32,
+    last_inserted: u32,
 }
 
-/// Blocks and their holders.
+/// Blocks and the replicas that hold them.
 #[derive(Debug)]
 pub struct Index {
     shards: Vec<Vec<Holding>>,
-    /// By replica number: blocks held, and a clock of uses.
+    /// By replica number: the number of blocks held, and a counter of
+    /// insertions, which serves as a clock.
     counts: Vec<(u32, u32)>,
-    /// Blocks remembered for one replica.
-    limit: u32,
+    /// Maximum number of blocks recorded for one replica.
+    max_blocks_per_replica: u32,
 }
 
 impl Default for Index {
@@ -62,19 +67,24 @@
 }
 
 impl Index {
-    /// Starts empty; remembers up to `limit` blocks for each replica.
+    /// Creates an empty index that records up to `limit` blocks for each
+    /// replica.
     pub fn open(limit: u32) -> Index {
-        Index { shards: vec![Vec::new(); SHARDS], counts: Vec::new(), limit }
+        Index {
+            shards: vec![Vec::new(); SHARD_COUNT],
+            counts: Vec::new(),
+            max_blocks_per_replica: limit,
+        }
     }
 
-    /// Notes that a replica was sent these blocks.
+    /// Records that a replica was sent these blocks.
     pub fn insert(&mut self, replica: u32, blocks: &[u64]) {
         let at = replica as usize;
         if self.counts.len() <= at {
             self.counts.resize(at + 1, (0, 0));
         }
         self.counts[at].1 += 1;
-        let used = self.counts[at].1;
+        let last_inserted = self.counts[at].1;
         for &block in blocks {
             let shard = &mut self.shards[shard_of(block)];
             let found = shard
@@ -82,19 +92,22 @@
                     (holding.block, holding.replica)
                 });
             match found {
-                Ok(at) => shard[at].used = used,
-                Err(place) => {
-                    shard.insert(place, Holding { block, replica, used });
+                Ok(at) => shard[at].last_inserted = last_inserted,
+                Err(insert_at) => {
+                    shard.insert(
+                        insert_at,
+                        Holding { block, replica, last_inserted },
+                    );
                     self.counts[at].0 += 1;
                 }
             }
         }
-        if self.counts[at].0 > self.limit {
-            self.forget_older_half(replica);
+        if self.counts[at].0 > self.max_blocks_per_replica {
+            self.evict_older_half(replica);
         }
     }
 
-    /// Notes that a replica no longer holds these blocks.
+    /// Records that a replica no longer holds these blocks.
     pub fn remove(&mut self, replica: u32, blocks: &[u64]) {
         for &block in blocks {
             let shard = &mut self.shards[shard_of(block)];
@@ -109,15 +122,17 @@
         }
     }
 
-    /// Forgets all that a replica held, as when it restarts.
+    /// Removes all blocks of a replica, for example when it restarts.
     pub fn clear(&mut self, replica: u32) {
         self.retain(replica, |_| false);
     }
 
-    /// Calls `found` with each holder and how many blocks it has.
     ///
-    /// Walks from the longest prefix down and stops after `limit` holders:
-    /// the first ones are those that save most.
+    /// Calls `found` with each holder of a prefix and the number of blocks
+    /// that it holds.
+    ///
+    /// Starts at the longest prefix and stops after `limit` holders, so the
+    /// holders that save the most computation come first.
     pub fn holders(
         &self,
         blocks: &[u64],
@@ -147,43 +162,43 @@
         }
     }
 
-    /// How many blocks are remembered in all.
+    /// Returns the number of recorded blocks, summed over all replicas.
     pub fn len(&self) -> usize {
         self.shards.iter().map(Vec::len).sum()
     }
 
-    /// True when nothing is remembered.
+    /// Returns true if no block is recorded.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    fn forget_older_half(&mut self, replica: u32) {
-        let mut uses: Vec<u32> = self
+    fn evict_older_half(&mut self, replica: u32) {
+        let mut insertions: Vec<u32> = self
             .shards
             .iter()
             .flatten()
             .filter(|holding| holding.replica == replica)
-            .map(|holding| holding.used)
+            .map(|holding| holding.last_inserted)
             .collect();
-        uses.sort_unstable();
-        let middle = uses[uses.len() / 2];
-        self.retain(replica, |used| used > middle);
+        insertions.sort_unstable();
+        let median = insertions[insertions.len() / 2];
+        self.retain(replica, |inserted| inserted > median);
     }
 
     fn retain(&mut self, replica: u32, keep: impl Fn(u32) -> bool) {
-        let mut left = 0;
+        let mut kept_count = 0;
         for shard in &mut self.shards {
             shard.retain(|holding| {
                 if holding.replica != replica {
                     return true;
                 }
-                let kept = keep(holding.used);
-                left += u32::from(kept);
+                let kept = keep(holding.last_inserted);
+                kept_count += u32::from(kept);
                 kept
             });
         }
         if let Some(count) = self.counts.get_mut(replica as usize) {
-            count.0 = left;
+            count.0 = kept_count;
         }
     }
 }
