--- a/src/decide/place.rs
+++ b/src/decide/place.rs
@@ -1,309 +1,346 @@
-//! How many replicas of an engine each data centre should have, and which
-//! kind.
+//! Computes how many replicas of an engine each data centre should have, and
+//! how many of them on reclaimable VMs.
 //!
-//! Reclaimable replicas cost a fraction of the others, and all of one data
-//! centre can be taken away at once, on seconds of notice, while none are to
-//! be had anywhere else for a long while. So there are so many of them that
-//! those of one data centre can go and the rest still carries the load, with
-//! most of the caches that it lives by. What is missing beyond that, as when
-//! a second one goes before the first is back, is replaced by ordinary ones
-//! until reclaimable ones serve in their place.
+//! Reclaimable replicas cost a fraction of ordinary replicas. All of them in
+//! one data centre can be reclaimed at once, on seconds of notice, and no
+//! others may be available anywhere for a long time. The number of reclaimable
+//! replicas is therefore high enough that those of one data centre can be lost
+//! and the rest still carries the load, with most of the caches that it
+//! depends on. A shortage beyond that, for example when a second data centre
+//! is lost before the first is back, is covered by ordinary replicas until
+//! reclaimable ones serve in their place.
 //!
-//! The load is measured by the time that prompts take to read. The number of
-//! requests under way would seem simpler, but it grows with every delay: too
-//! few replicas for a moment would end in orders of far too many.
+//! The load is measured as the time that replicas need to compute prompts. The
+//! number of requests in flight would be simpler, but it grows with every
+//! delay: a momentary shortage of replicas would cause orders of far too many.
 //!
-//! # Why replicas are kept although the load is low
+//! # Why replicas are kept when the load is low
 //!
-//! The load itself depends on the replicas: each that is let go takes its
-//! cache along, and the prompts in it are read again by those that are left.
-//! Sizing by the load of the last seconds so has two resting points. Many
-//! replicas read little, so some are let go; the others then read more than
-//! they can, and stay overloaded for half a minute while replacements warm
-//! up. So the load is forgotten slowly, the number stays near what operators
-//! had sized the deployment to, and small differences are left as they are.
+//! The load depends on the replicas: a released replica loses its cache, and
+//! the remaining replicas compute its prompts again. Sizing by the load of the
+//! last seconds therefore has two stable states. Many replicas compute little,
+//! so some are released; the remaining ones then have more to compute than
+//! they can, and stay overloaded for half a minute while replacements warm up.
+//! For this reason the remembered load decays slowly, the number of replicas
+//! stays near the size that operators chose for the deployment, and small
+//! differences are ignored.
 
 use crate::util::common;
 
-/// The part of its time that a replica should spend on reading prompts, where
-/// all entries know at once what the others send. At a fifth, a prompt seldom
-/// meets another one before it; at a third, the 95th percentile of the first
-/// token doubles.
-const READING: f32 = 0.4;
-/// The same where that takes a second or more: entries then choose replicas
-/// nearly blindly, and prompts meet although other replicas are idle.
-const READING_BLIND: f32 = 0.1;
-/// How late others' requests are known when [`READING_BLIND`] holds, in ms.
-const BLIND_MS: f32 = 1000.0;
-/// Replicas kept at least after a loss, over all data centres: below this
-/// one replica's failure takes too large a part of the load with it.
-const LEAST: f32 = 8.0;
-/// The part of the replicas found at the start that is always taken to be
-/// needed: their caches together hold the prompts that are asked for.
-const FOUND_AT_LEAST: f32 = 0.4;
-/// The part of the replicas found at the start that is taken to be needed
-/// until a load was seen: their operators sized them with a little room. A
-/// system that starts often starts into a rush, with cold caches besides.
-const FOUND: f32 = 0.85;
-/// The part of the replicas found at the start that is to be there after the
-/// loss of one data centre: with them go caches, which hold the prompts of
-/// the last quarter of a minute or so.
-const KEPT: f32 = 0.8;
-/// How fast a past peak of the load is forgotten, in ms for half of it: long
-/// against a wave of the load and against the time that a new replica takes
-/// to boot and to fill its cache.
-const FORGET_MS: f32 = 30_000.0;
-/// For so long after it began to watch, a node lets nothing go, in ms: the
-/// average of the load needs that time to mean anything.
-const WATCH_MS: u64 = 15_000;
-/// More reclaimable replicas than wished for are left alone up to this part
-/// of the wish: the wish goes up and down with the load, and whatever is let
-/// go for it comes back with a cold cache.
-const SPARE: f32 = 0.25;
+/// Target share of a replica's time spent on computing prompts, where all
+/// entries know at once what the other entries send. At a fifth, a prompt
+/// seldom finds another one before it; at a third, the 95th percentile of the
+/// time to the first token doubles.
+const PREFILL_SHARE: f32 = 0.4;
+/// Target share where that knowledge takes [`FULL_LAG_MS`] or longer: entries
+/// then select replicas nearly blindly, and prompts queue behind each other
+/// although other replicas are idle.
+const LAGGED_PREFILL_SHARE: f32 = 0.1;
+/// Propagation delay of the other entries' requests at which
+/// [`LAGGED_PREFILL_SHARE`] applies, in ms.
+const FULL_LAG_MS: f32 = 1000.0;
+/// Minimum number of replicas after a loss, over all data centres. With fewer,
+/// the failure of one replica affects too large a share of the load.
+const MIN_REPLICAS_AFTER_LOSS: f32 = 8.0;
+/// Share of the initial replicas that always counts as needed: their caches
+/// together hold the prompts that are requested.
+const MIN_INITIAL_SHARE: f32 = 0.4;
+/// Share of the initial replicas that counts as needed until a load is
+/// measured: operators size a deployment with a little room. A system that
+/// starts often starts under a rush of requests, and with cold caches.
+const PRESUMED_INITIAL_SHARE: f32 = 0.85;
+/// Share of the initial replicas that must remain after the loss of one data
+/// centre: with the lost replicas go their caches, which hold the prompts of
+/// roughly the last 15 s.
+const INITIAL_SHARE_AFTER_LOSS: f32 = 0.8;
+/// Time in which a past peak of the load halves, in ms. It is long compared
+/// with the fluctuations of the load, and with the time that a new replica
+/// takes to boot and to fill its cache.
+const PEAK_HALF_LIFE_MS: f32 = 30_000.0;
+/// Time after a node starts observing the load during which it releases no
+/// replicas, in ms: the average of the load needs that time to become
+/// meaningful.
+const MIN_OBSERVATION_MS: u64 = 15_000;
+/// Surplus of reclaimable replicas that is not released, as a share of the
+/// target: the target fluctuates with the load, and a replica that is released
+/// for it returns with a cold cache.
+const MAX_SURPLUS_SHARE: f32 = 0.25;
 
-/// Over which the load of a moment is averaged, in ms.
-const RECENT_MS: f32 = 6000.0;
-/// Less than this, in replicas that only read, is no load.
-const BUSY: f32 = 0.05;
-/// Replicas that are let go at a time under load, as a part of all: the
-/// prompts that they hold have to be read elsewhere first.
-const RELEASED: f32 = 0.06;
+/// Time constant of the moving average of the load, in ms.
+const LOAD_AVERAGING_MS: f32 = 6000.0;
+/// Load below which the service counts as idle, in replicas that only compute
+/// prompts.
+const MIN_LOAD: f32 = 0.05;
+/// Share of all replicas that may be released at a time under load: the
+/// prompts that they hold first have to be computed elsewhere.
+const MAX_RELEASED_SHARE: f32 = 0.06;
 
 common! {
-    /// What there is in one data centre.
+    /// The replicas of one data centre.
     pub struct Site {
-        /// Its name.
+        /// Name of the data centre.
         pub data_centre: String,
-        /// Reclaimable replicas that serve.
+        /// Serving reclaimable replicas.
         pub spot: u32,
-        /// Other replicas that serve.
+        /// Serving ordinary replicas.
         pub ordinary: u32,
         /// Price of an ordinary replica.
         pub price: f64,
-        /// No reclaimable ones are to be had: an order was refused, or those
-        /// that were there are being taken away.
+        /// No reclaimable replicas are available: an order was refused, or the
+        /// existing ones are being reclaimed.
         pub dry: bool,
     }
 }
 
 common! {
-    /// What one engine may be given.
+    /// Bounds on the replicas of one engine.
     pub struct Bounds {
-        /// Replicas of a data centre at least, of both kinds together.
+        /// Minimum number of replicas of a data centre, both kinds together.
         pub least: u32,
-        /// Replicas of a data centre at most, of both kinds together.
+        /// Maximum number of replicas of a data centre, both kinds together.
         pub most: u32,
-        /// Whether there are reclaimable replicas at all.
+        /// Whether reclaimable replicas exist at all.
         pub has_spot: bool,
-        /// How late entries know on average what others have sent, in ms.
+        /// Mean propagation delay after which entries know what other entries
+        /// have sent, in ms.
         pub lag_ms: f32,
     }
 }
 
 common! {
-    /// How many replicas of each kind a data centre should have.
+    /// Target number of replicas of each kind in one data centre.
     pub struct Wish {
-        /// Its name.
+        /// Name of the data centre.
         pub data_centre: String,
-        /// Reclaimable ones.
+        /// Reclaimable replicas.
         pub spot: u32,
-        /// Others.
+        /// Ordinary replicas.
         pub ordinary: u32,
     }
 }
 
-/// The load that replicas are kept for: the part of their time, added up,
-/// that replicas spend on reading prompts.
+/// The load that replicas are kept for: the share of their time that replicas
+/// spend on computing prompts, summed over all replicas.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Work sent by each node since its start, in ms.
+    /// By node: prompt computation time that the node has sent to replicas
+    /// since its start, in ms.
     sent: Vec<(u64, u64)>,
-    at: u64,
-    recent: f32,
+    updated_at: u64,
+    average: f32,
     peak: f32,
-    /// When it was first watched.
-    since: u64,
-    /// Whether there ever was a load.
-    has_begun: bool,
-    /// Replicas that were there before that.
-    found: u32,
+    /// When the load was first observed, in ms.
+    observed_since: u64,
+    /// Whether the load ever exceeded [`MIN_LOAD`].
+    has_had_load: bool,
+    /// Replicas that were present before that.
+    initial_replicas: u32,
 }
 
 impl Load {
-    /// Starts from the replicas that are there, as no load was seen yet.
     ///
-    /// Starting from none would let nearly all of them go, right before the
-    /// traffic for which they were bought.
+    /// Starts from the replicas that are present, because no load has been
+    /// measured yet.
+    ///
+    /// Starting from zero would release nearly all of them, right before the
+    /// traffic for which they were ordered.
     pub fn open(now: u64, found: u32) -> Load {
         let mut load = Load {
             sent: Vec::new(),
-            at: now,
-            recent: 0.0,
+            updated_at: now,
+            average: 0.0,
             peak: 0.0,
-            since: now,
-            has_begun: false,
-            found: 0,
+            observed_since: now,
+            has_had_load: false,
+            initial_replicas: 0,
         };
         load.find(found);
         load
     }
 
-    /// Takes the number of replicas that are there and were not ordered by
-    /// this policy. It counts until there is a load: at the start they
+    /// Records the number of replicas that are present and were not ordered by
+    /// this policy. It counts until there is a load: at the start, replicas
     /// announce themselves one after the other.
     pub fn find(&mut self, found: u32) {
-        if !self.has_begun {
-            self.found = self.found.max(found);
-            self.peak = self.peak.max(found as f32 * FOUND * READING);
+        if !self.has_had_load {
+            self.initial_replicas = self.initial_replicas.max(found);
+            self.peak = self
+                .peak
+                .max(found as f32 * PRESUMED_INITIAL_SHARE * PREFILL_SHARE);
         }
     }
 
-    /// Takes what each node has sent since its start, in ms.
+    /// Records, by node, the prompt computation time sent since the start of
+    /// the node, in ms.
     pub fn note(&mut self, now: u64, sent: Vec<(u64, u64)>) {
-        let passed = now.saturating_sub(self.at).max(1) as f32;
-        let new: u64 = sent
+        let elapsed_ms = now.saturating_sub(self.updated_at).max(1) as f32;
+        let added_ms: u64 = sent
             .iter()
             .map(|(node, ms)| {
                 let known = self.sent.iter().find(|(old, _)| old == node);
-                // What a node sent before it was first heard is no load of
-                // this moment.
+                // The time that a node had sent before its first report is not
+                // part of the current load.
                 known.map_or(0, |(_, old)| ms.saturating_sub(*old))
             })
             .sum();
-        let share = 1.0 - (-passed / RECENT_MS).exp();
-        self.recent += (new as f32 / passed - self.recent) * share;
-        self.has_begun |= self.recent > BUSY;
-        if self.has_begun {
-            let kept = (-passed / FORGET_MS * std::f32::consts::LN_2).exp();
-            self.peak = (self.peak * kept).max(self.recent);
+        let weight = 1.0 - (-elapsed_ms / LOAD_AVERAGING_MS).exp();
+        self.average += (added_ms as f32 / elapsed_ms - self.average) * weight;
+        self.has_had_load |= self.average > MIN_LOAD;
+        if self.has_had_load {
+            let decay = (-elapsed_ms / PEAK_HALF_LIFE_MS
+                * std::f32::consts::LN_2)
+                .exp();
+            self.peak = (self.peak * decay).max(self.average);
         }
         self.sent = sent;
-        self.at = now;
+        self.updated_at = now;
     }
 
-    /// The peak that is still remembered, in replicas that only read.
+    /// Returns the decayed peak load, in replicas that only compute prompts.
     pub fn peak(&self) -> f32 {
         self.peak
     }
 
-    /// True when it has been watched for long enough to let replicas go.
-    fn is_known(&self) -> bool {
-        self.at >= self.since + WATCH_MS
+    /// Returns true once the load has been observed for long enough to release
+    /// replicas.
+    fn can_release(&self) -> bool {
+        self.updated_at >= self.observed_since + MIN_OBSERVATION_MS
     }
 
-    /// True while requests come in.
+    /// Returns true while there is a load.
     pub fn is_busy(&self) -> bool {
-        self.recent > BUSY
+        self.average > MIN_LOAD
     }
 }
 
-/// How many replicas the operators had sized the deployment to, by what a
-/// node sees that begins to watch.
 ///
-/// At the start these are the ordinary ones. One that starts later sees the
-/// reclaimable ones that were ordered for them.
+/// Returns how many replicas the operators sized the deployment to, as
+/// estimated by a node that starts observing.
+///
+/// At the start of the system these are the ordinary replicas. A node that
+/// starts later sees the reclaimable replicas that were ordered in their
+/// place.
 pub fn found(ordinary: usize, spot: usize, sites: usize) -> u32 {
     let after_a_loss = (spot * sites.saturating_sub(1)) / sites.max(1);
-    let sized = (after_a_loss as f32 / KEPT) as u32;
-    sized.max(ordinary as u32)
+    let initial = (after_a_loss as f32 / INITIAL_SHARE_AFTER_LOSS) as u32;
+    initial.max(ordinary as u32)
 }
 
-/// What each data centre should have, in the order of `sites`.
+/// Returns the target of each data centre, in the order of `sites`.
 pub fn wishes(sites: &[Site], bounds: &Bounds, load: &Load) -> Vec<Wish> {
-    let need = needed(load);
+    let need = needed_replicas(load);
     let count = sites.len().max(1) as u32;
     if !bounds.has_spot {
-        let each = need.div_ceil(count).clamp(bounds.least, bounds.most);
-        return sites.iter().map(|site| wish(site, 0, each)).collect();
+        let per_site = need.div_ceil(count).clamp(bounds.least, bounds.most);
+        return sites.iter().map(|site| wish(site, 0, per_site)).collect();
     }
-    let left = (count - 1).max(1);
-    let kept = (load.found as f32 * KEPT).ceil() as u32;
-    let at_ease = (load.peak() / reading(bounds.lag_ms)).ceil() as u32;
-    let each = need
-        .max(kept)
-        .max(at_ease)
-        .div_ceil(left)
+    let surviving_sites = (count - 1).max(1);
+    let after_loss = (load.initial_replicas as f32 * INITIAL_SHARE_AFTER_LOSS)
+        .ceil() as u32;
+    let for_prefill =
+        (load.peak() / prefill_share(bounds.lag_ms)).ceil() as u32;
+    let per_site = need
+        .max(after_loss)
+        .max(for_prefill)
+        .div_ceil(surviving_sites)
         .clamp(bounds.least, bounds.most);
-    // While reclaimable ones are not to be had: enough for one more loss.
-    let total = (need * count).div_ceil(left).min(each * count);
-    let spare = each + ((each as f32 * SPARE) as u32).max(1);
+    // While reclaimable replicas are unavailable: enough for one more loss.
+    let total = (need * count).div_ceil(surviving_sites).min(per_site * count);
+    let max_kept =
+        per_site + ((per_site as f32 * MAX_SURPLUS_SHARE) as u32).max(1);
     let mut wishes: Vec<Wish> = sites
         .iter()
         .map(|site| {
-            // Where some are missing, the load has moved to the others: they
-            // keep what they have.
-            let missing = sites.iter().any(|other| other.spot < each);
-            let keeps = missing || site.spot <= spare || !load.is_known();
-            let let_go = if keeps { 0 } else { released(site.spot) };
-            let kept = (site.spot - let_go).min(bounds.most);
-            // Both kinds share the bound: what is wished beyond it would not
-            // be given, and is wished again once ordinary ones have gone.
+            // Where some data centres lack replicas, the load has moved to the
+            // others, which therefore keep what they have.
+            let has_shortage = sites.iter().any(|other| other.spot < per_site);
+            let keeps_all =
+                has_shortage || site.spot <= max_kept || !load.can_release();
+            let release = if keeps_all { 0 } else { max_released(site.spot) };
+            let kept = (site.spot - release).min(bounds.most);
+            // Both kinds share the bound. An order beyond it would not be met.
+            // The target rises again once ordinary replicas have been
+            // released.
             let room = bounds.most.saturating_sub(site.ordinary).max(1);
-            wish(site, each.min(room).max(kept), 0)
+            wish(site, per_site.min(room).max(kept), 0)
         })
         .collect();
-    // What will be there soon, as far as known.
-    let coming: u32 = sites
+    // Reclaimable replicas that will probably serve soon.
+    let expected_spot: u32 = sites
         .iter()
-        .map(|site| if site.dry { site.spot.min(each) } else { each })
+        .map(|site| if site.dry { site.spot.min(per_site) } else { per_site })
         .sum();
-    let serving: u32 = sites.iter().map(|site| site.spot.min(each)).sum();
-    let there: u32 = sites.iter().map(|site| site.ordinary).sum();
-    let mut kept = there.min(total.saturating_sub(serving));
+    let serving_spot: u32 =
+        sites.iter().map(|site| site.spot.min(per_site)).sum();
+    let present: u32 = sites.iter().map(|site| site.ordinary).sum();
+    let mut kept_ordinary = present.min(total.saturating_sub(serving_spot));
     if load.is_busy() {
-        kept = kept.max(there.saturating_sub(released(total)));
+        kept_ordinary =
+            kept_ordinary.max(present.saturating_sub(max_released(total)));
     }
-    let wanted = total.saturating_sub(coming).max(kept);
-    spread(wanted, sites, bounds, &mut wishes);
+    let ordinary = total.saturating_sub(expected_spot).max(kept_ordinary);
+    distribute_ordinary(ordinary, sites, bounds, &mut wishes);
     wishes
 }
 
-/// How many of so many replicas may be let go at a time.
-fn released(count: u32) -> u32 {
-    (count as f32 * RELEASED).ceil() as u32
+/// Returns how many of `count` replicas may be released at a time.
+fn max_released(count: u32) -> u32 {
+    (count as f32 * MAX_RELEASED_SHARE).ceil() as u32
 }
 
-/// The part of its time that a reclaimable replica should spend on reading.
 ///
-/// Those are cheap enough to keep the waits short that late knowledge costs.
-/// Ordinary ones that stand in for them are not.
-fn reading(lag_ms: f32) -> f32 {
-    let blind = (lag_ms / BLIND_MS).min(1.0);
-    READING + (READING_BLIND - READING) * blind
+/// Returns the target share of a reclaimable replica's time spent on computing
+/// prompts.
+///
+/// Reclaimable replicas are cheap enough to add more of them against the waits
+/// that a propagation delay causes. The ordinary replicas that stand in for
+/// them are not.
+fn prefill_share(lag_ms: f32) -> f32 {
+    let lag_share = (lag_ms / FULL_LAG_MS).min(1.0);
+    PREFILL_SHARE + (LAGGED_PREFILL_SHARE - PREFILL_SHARE) * lag_share
 }
 
 fn wish(site: &Site, spot: u32, ordinary: u32) -> Wish {
     Wish { data_centre: site.data_centre.clone(), spot, ordinary }
 }
 
-/// Spreads ordinary replicas: those that are there stay, new ones go where
-/// they are cheapest, one by one in turn.
-fn spread(wanted: u32, sites: &[Site], bounds: &Bounds, wishes: &mut [Wish]) {
+/// Distributes ordinary replicas over the data centres: existing replicas
+/// stay, and new ones are assigned one by one in turn, cheapest data centre
+/// first.
+fn distribute_ordinary(
+    wanted: u32,
+    sites: &[Site],
+    bounds: &Bounds,
+    wishes: &mut [Wish],
+) {
     let room = |site: &Site| bounds.most.saturating_sub(site.spot);
-    let mut left = wanted;
+    let mut remaining = wanted;
     for (site, wish) in sites.iter().zip(&mut *wishes) {
-        wish.ordinary = site.ordinary.min(room(site)).min(left);
-        left -= wish.ordinary;
+        wish.ordinary = site.ordinary.min(room(site)).min(remaining);
+        remaining -= wish.ordinary;
     }
-    let mut order: Vec<usize> = (0..sites.len()).collect();
-    order.sort_by(|&one, &other| {
-        sites[one].price.total_cmp(&sites[other].price)
+    let mut by_price: Vec<usize> = (0..sites.len()).collect();
+    by_price.sort_by(|&left, &right| {
+        sites[left].price.total_cmp(&sites[right].price)
     });
-    while left > 0 {
-        let before = left;
-        for &at in &order {
-            if left > 0 && wishes[at].ordinary < room(&sites[at]) {
+    while remaining > 0 {
+        let before = remaining;
+        for &at in &by_price {
+            if remaining > 0 && wishes[at].ordinary < room(&sites[at]) {
                 wishes[at].ordinary += 1;
-                left -= 1;
+                remaining -= 1;
             }
         }
-        if left == before {
+        if remaining == before {
             return;
         }
     }
 }
 
-fn needed(load: &Load) -> u32 {
-    let cached = load.found as f32 * FOUND_AT_LEAST;
-    (load.peak() / READING).max(LEAST).max(cached).ceil() as u32
+fn needed_replicas(load: &Load) -> u32 {
+    let cached = load.initial_replicas as f32 * MIN_INITIAL_SHARE;
+    (load.peak() / PREFILL_SHARE)
+        .max(MIN_REPLICAS_AFTER_LOSS)
+        .max(cached)
+        .ceil() as u32
 }
