--- a/src/decide/moving.rs
+++ b/src/decide/moving.rs
@@ -1,39 +1,43 @@
-//! Whether a stream moves away from an endpoint that is leaving.
+//! Decides whether a stream moves away from an endpoint that is leaving.
 //!
-//! Moving costs: the new endpoint computes the prompt and the answer so far
-//! again, unless the old one's KV cache can be imported in time. Staying is
-//! free, if the stream ends before the endpoint does.
+//! Moving a stream costs time: the new endpoint recomputes the prompt and the
+//! answer so far, unless it can import the KV cache of the old endpoint in
+//! time. Staying costs nothing if the stream ends before the endpoint stops.
 
 use crate::util::common;
 
-/// What must be left over when a stream stays, as a factor.
-const MARGIN: f32 = 1.5;
-/// Time kept for opening a stream elsewhere with the cache imported, in ms.
-const MOVE_MS: u64 = 500;
+/// Factor by which the predicted rest of a stream that stays must fit into the
+/// time left.
+const STAY_MARGIN: f32 = 1.5;
+/// Time reserved for opening the stream at another endpoint with the KV cache
+/// imported, in ms.
+const MOVE_RESERVE_MS: u64 = 500;
 
 common! {
     copy
-    /// How far a stream has come.
+    /// Progress of a stream.
     pub struct Stream {
-        /// Pieces that it has given.
+        /// Pieces that the stream has delivered.
         pub pieces: u64,
-        /// Pieces that it may give at most.
+        /// Maximum number of pieces that the stream may deliver.
         pub most: u64,
-        /// Since its first piece, in ms.
+        /// Time since the first piece, in ms.
         pub streaming_ms: u64,
     }
 }
 
-/// True when the stream should move now.
 ///
-/// `left_ms` is how long the endpoint goes on.
+/// Returns true if the stream should move now.
+///
+/// `left_ms` is the time until the endpoint stops, in ms.
 pub fn should_move(stream: Stream, left_ms: u64) -> bool {
-    if left_ms <= MOVE_MS || stream.pieces == 0 {
-        // Nothing has been computed that would be lost, or no time is left
-        // to find out.
+    if left_ms <= MOVE_RESERVE_MS || stream.pieces == 0 {
+        // Either no computed result would be lost, or too little time is left
+        // to wait for the end of the stream.
         return true;
     }
-    let each = stream.streaming_ms as f32 / stream.pieces as f32;
-    let to_come = stream.most.saturating_sub(stream.pieces) as f32;
-    to_come * each * MARGIN > (left_ms - MOVE_MS) as f32
+    let piece_ms = stream.streaming_ms as f32 / stream.pieces as f32;
+    let remaining_pieces = stream.most.saturating_sub(stream.pieces) as f32;
+    remaining_pieces * piece_ms * STAY_MARGIN
+        > (left_ms - MOVE_RESERVE_MS) as f32
 }
