--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -1,130 +1,140 @@
-//! How many retries there may be, and how long to wait before one.
+//! Bounds on retries, and the wait before a retry.
 //!
-//! Retries answer small troubles and make large ones worse: when a data
-//! centre is lost, every request that it had would come back at once. A
-//! [`Budget`] allows retries as a share of recent successes. While it is
-//! used up, a request that was accepted still goes on, but only after a wait
-//! that doubles, with jitter, so that the waits of many do not coincide.
+//! Retries help with small failures and make large ones worse: when a data
+//! centre is lost, all of its requests would be retried at once. A [`Budget`]
+//! allows retries as a share of recent successes. When it is used up, an
+//! accepted request is still retried, but only after a wait that doubles with
+//! each attempt. Jitter keeps the waits of many requests from coinciding.
 
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
-/// The shortest wait when the budget is used up, in ms.
-const WAIT_MS: u64 = 100;
-/// The longest wait, in ms.
-const LONGEST_WAIT_MS: u64 = 3200;
-/// Retries that are saved up at most.
-const SAVED: f32 = 10.0;
+/// Wait before the first retry when the budget is used up, in ms, before
+/// jitter.
+const BASE_WAIT_MS: u64 = 100;
+/// Maximum wait before a retry, in ms.
+const MAX_WAIT_MS: u64 = 3200;
+/// Maximum number of retries that the budget accumulates.
+const MAX_SAVED_RETRIES: f32 = 10.0;
 
-/// Retries as a share of successes.
+/// A budget of retries as a share of successes.
 #[derive(Debug)]
 pub struct Budget {
-    share: f32,
-    saved: f32,
+    retries_per_success: f32,
+    saved_retries: f32,
     rng: StdRng,
 }
 
 impl Budget {
-    /// Allows `percent` retries for a hundred successes, and a few at start.
+    /// Creates a budget that allows `percent` retries for every hundred
+    /// successes, and a few retries at the start.
     pub fn open(percent: u64, seed: u64) -> Budget {
         Budget {
-            share: percent as f32 / 100.0,
-            saved: SAVED,
+            retries_per_success: percent as f32 / 100.0,
+            saved_retries: MAX_SAVED_RETRIES,
             rng: StdRng::seed_from_u64(seed),
         }
     }
 
-    /// Changes the share.
+    /// Sets the number of retries for every hundred successes.
     pub fn set_percent(&mut self, percent: u64) {
-        self.share = percent as f32 / 100.0;
+        self.retries_per_success = percent as f32 / 100.0;
     }
 
-    /// Notes a success.
+    /// Records a success.
     pub fn succeeded(&mut self) {
-        self.saved = (self.saved + self.share).min(SAVED);
+        self.saved_retries = (self.saved_retries + self.retries_per_success)
+            .min(MAX_SAVED_RETRIES);
     }
 
-    /// How long to wait before the retry number `attempt`, from 1, in ms.
     ///
-    /// 0 while the budget lasts.
+    /// Returns the wait before retry number `attempt`, counted from 1, in ms.
+    ///
+    /// Returns 0 while the budget lasts.
     pub fn wait_ms(&mut self, attempt: u32) -> u64 {
-        if self.saved >= 1.0 {
-            self.saved -= 1.0;
+        if self.saved_retries >= 1.0 {
+            self.saved_retries -= 1.0;
             return 0;
         }
-        let doubled = WAIT_MS << attempt.saturating_sub(1).min(10);
-        let wait = doubled.min(LONGEST_WAIT_MS);
+        let doubled = BASE_WAIT_MS << attempt.saturating_sub(1).min(10);
+        let wait = doubled.min(MAX_WAIT_MS);
         self.rng.random_range(wait / 2..=wait)
     }
 }
 
-/// How far a limit on repeats is used: the rest is for repeats that other
-/// entries count a moment later, and for callers' requests that never arrive.
-const WINDOW_PART: f32 = 0.8;
-/// Parts of a window that slide out one after the other.
-const SLICES: usize = 10;
+/// Share of the bound on retries that entries use. The rest allows for retries
+/// that other entries count a moment later, and for callers' requests that
+/// never arrive.
+const USED_BOUND_SHARE: f32 = 0.8;
+/// Number of slices in a window. The window slides on by one slice at a time.
+const SLICE_COUNT: usize = 10;
 
-/// What repeats are allowed in any window of time, over all entries.
+/// Bound on the retries in any window of time, over all entries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
-    /// Repeats for each first sending.
+    /// Retries for each first attempt.
     pub ratio: f32,
-    /// Repeats besides, for all entries together.
+    /// Retries allowed in addition, for all entries together.
     pub slack: f32,
-    /// The length of the window, in ms.
+    /// Length of the window, in ms.
     pub window_ms: u64,
 }
 
-/// Repeats of one service at one entry, counted over a sliding window.
 ///
-/// Each entry allows itself the ratio of its own first sendings and an equal
-/// part of the slack. So the sum stays within the bound without a word
-/// between the entries, also while they are cut off from each other.
+/// Retries of one service at one entry, counted over a sliding window.
+///
+/// Each entry allows itself the ratio of its own first attempts and an equal
+/// share of the slack. The sum therefore stays within the bound without
+/// communication between the entries, also during a network partition.
 #[derive(Clone, Debug)]
 pub struct Window {
     bound: Bound,
-    /// First sendings and repeats in each slice of the window.
-    slices: [(u32, u32); SLICES],
-    /// The number of the newest slice.
+    /// Number of first attempts and of retries in each slice of the window.
+    slices: [(u32, u32); SLICE_COUNT],
+    /// Number of the newest slice, counted from time 0.
     newest: u64,
 }
 
 impl Window {
-    /// Starts with nothing sent.
+    /// Creates a window without attempts.
     pub fn open(bound: Bound) -> Window {
-        Window { bound, slices: [(0, 0); SLICES], newest: 0 }
+        Window { bound, slices: [(0, 0); SLICE_COUNT], newest: 0 }
     }
 
-    /// Counts a first sending.
+    /// Counts a first attempt.
     pub fn sent(&mut self, now: u64) {
         self.slide(now);
-        self.slices[(self.newest % SLICES as u64) as usize].0 += 1;
+        self.slices[(self.newest % SLICE_COUNT as u64) as usize].0 += 1;
     }
 
-    /// Counts a repeat if there may be one, with `entries` that serve.
+    /// Counts a retry and returns true if the bound allows one. `entries` is
+    /// the number of serving entries.
     pub fn repeat(&mut self, now: u64, entries: usize) -> bool {
         self.slide(now);
-        let firsts: u32 = self.slices.iter().map(|slice| slice.0).sum();
-        let repeats: u32 = self.slices.iter().map(|slice| slice.1).sum();
+        let first_attempts: u32 =
+            self.slices.iter().map(|slice| slice.0).sum();
+        let retries: u32 = self.slices.iter().map(|slice| slice.1).sum();
         let slack = self.bound.slack / entries.max(1) as f32;
-        let most = (self.bound.ratio * firsts as f32 + slack) * WINDOW_PART;
-        if repeats as f32 + 1.0 > most {
+        let allowed = (self.bound.ratio * first_attempts as f32 + slack)
+            * USED_BOUND_SHARE;
+        if retries as f32 + 1.0 > allowed {
             return false;
         }
-        self.slices[(self.newest % SLICES as u64) as usize].1 += 1;
+        self.slices[(self.newest % SLICE_COUNT as u64) as usize].1 += 1;
         true
     }
 
     fn slide(&mut self, now: u64) {
-        let length = (self.bound.window_ms / SLICES as u64).max(1);
-        let newest = now / length;
-        let passed = newest.saturating_sub(self.newest).min(SLICES as u64);
-        for step in 1..=passed {
-            let at = (self.newest + step) % SLICES as u64;
+        let slice_ms = (self.bound.window_ms / SLICE_COUNT as u64).max(1);
+        let newest = now / slice_ms;
+        let elapsed_slices =
+            newest.saturating_sub(self.newest).min(SLICE_COUNT as u64);
+        for step in 1..=elapsed_slices {
+            let at = (self.newest + step) % SLICE_COUNT as u64;
             self.slices[at as usize] = (0, 0);
         }
-        // After a long pause the slices are all empty, whatever their number.
-        if passed == SLICES as u64 {
-            self.slices = [(0, 0); SLICES];
+        // After a pause of a whole window or longer, all slices are empty.
+        if elapsed_slices == SLICE_COUNT as u64 {
+            self.slices = [(0, 0); SLICE_COUNT];
         }
         self.newest = self.newest.max(newest);
     }
