--- a/tests/all/limits.rs
+++ b/tests/all/limits.rs
@@ -1,4 +1,4 @@
-//! Quotas, retry budgets and placement, driven in virtual time.
+//! Tests of quotas, retry budgets and placement in virtual time.
 
 use azuremount::decide::{
     place::{Bounds, Load, Site, Wish, found, wishes},
@@ -11,11 +11,12 @@
 
 const RATE: f64 = 1000.0;
 
-/// Entries that admit for one team, and tell each other now and then.
+/// Entries that admit one team's requests and exchange reports at intervals.
 struct Entries {
     meters: Vec<Meter>,
     admitted: Vec<(u64, u64)>,
-    /// Entries on each side of a cut; all on one side when there is none.
+    /// Side of a network partition on which each entry is; all entries are on
+    /// one side when there is none.
     side: Vec<usize>,
     lag_ms: f64,
 }
@@ -51,83 +52,100 @@
         }
     }
 
-    fn tell(&mut self, now: u64) {
-        self.tell_some(now, |_| true);
+    fn report_all(&mut self, now: u64) {
+        self.report_from(now, |_| true);
     }
 
-    /// Those that `tells` names tell all others their totals.
-    fn tell_some(&mut self, now: u64, tells: impl Fn(usize) -> bool) {
-        if !(0..self.meters.len()).any(&tells) {
+    /// Delivers the totals of the entries that `should_report` selects to all
+    /// other entries.
+    fn report_from(
+        &mut self,
+        now: u64,
+        should_report: impl Fn(usize) -> bool,
+    ) {
+        if !(0..self.meters.len()).any(&should_report) {
             return;
         }
         let totals: Vec<u64> = self.meters.iter().map(Meter::own).collect();
         for at in 0..self.meters.len() {
             for (from, total) in totals.iter().enumerate() {
-                if from != at && tells(from) {
-                    let heard = self.side[from] == self.side[at];
-                    // What is not heard stays at what was heard last.
-                    let total = if heard { *total } else { 0 };
-                    self.meters[at].note(now, from as u64, total, heard);
+                if from != at && should_report(from) {
+                    let is_reachable = self.side[from] == self.side[at];
+                    // Totals from the other side of a partition stay at their
+                    // last value.
+                    let total = if is_reachable { *total } else { 0 };
+                    self.meters[at].note(
+                        now,
+                        from as u64,
+                        total,
+                        is_reachable,
+                    );
                 }
             }
         }
     }
 
-    fn ask(&mut self, now: u64, at: usize, cost: u64) {
+    fn admit(&mut self, now: u64, at: usize, cost: u64) {
         let allowance = self.allowance(at);
         if self.meters[at].admit(now, allowance, cost, false).is_ok() {
             self.admitted.push((now, cost));
         }
     }
 
-    /// The most that any window of so many ms has admitted.
-    fn most_in(&self, window: u64) -> u64 {
+    /// Returns the largest cost admitted in any window of `window` ms.
+    fn max_admitted_in(&self, window_ms: u64) -> u64 {
         let sums = self.admitted.iter().map(|(from, _)| {
             let within = self
                 .admitted
                 .iter()
-                .filter(|(at, _)| (*from..*from + window).contains(at));
+                .filter(|(at, _)| (*from..*from + window_ms).contains(at));
             within.map(|(_, cost)| cost).sum()
         });
         sums.max().unwrap_or(0)
     }
 }
 
-/// A team asks for six times its quota at all entries at once, which tell
-/// each other every 300 ms, and are cut in two for a while.
+/// A team sends six times its quota to all entries, which exchange reports
+/// every 300 ms and are partitioned for a while. What is admitted must stay
+/// near the quota.
 #[test]
 fn a_flood_at_all_entries_stays_near_the_quota() {
-    for (seed, cut) in (0..6).zip([false, true].into_iter().cycle()) {
+    for (seed, is_partitioned) in (0..6).zip([false, true].into_iter().cycle())
+    {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut entries = Entries::open(9);
         for now in 0..30_000u64 {
             if now % 300 == 0 {
-                entries.tell(now);
+                entries.report_all(now);
             }
-            if cut && now == 10_000 {
+            if is_partitioned && now == 10_000 {
                 entries.side = (0..9).map(|at| at % 2).collect();
             }
             if now == 20_000 {
                 entries.side = vec![0; 9];
             }
-            let asks = RATE * 6.0 / 20.0 / 1000.0;
-            if rng.random_bool(asks) {
+            let probability = RATE * 6.0 / 20.0 / 1000.0;
+            if rng.random_bool(probability) {
                 let at = rng.random_range(0..9);
-                entries.ask(now, at, 20);
+                entries.admit(now, at, 20);
             }
         }
-        let most = entries.most_in(8000) as f64;
+        let admitted = entries.max_admitted_in(8000) as f64;
         let bound = (RATE * 8.0 + RATE) * 1.1 + RATE * 0.5;
-        assert!(most <= bound, "{most} in 8 s, seed {seed}");
-        let all: u64 = entries.admitted.iter().map(|(_, cost)| cost).sum();
-        assert!(all as f64 >= RATE * 30.0 * 0.9, "stranded: {all}");
+        assert!(admitted <= bound, "{admitted} admitted in 8 s, seed {seed}");
+        let admitted: u64 =
+            entries.admitted.iter().map(|(_, cost)| cost).sum();
+        assert!(
+            admitted as f64 >= RATE * 30.0 * 0.9,
+            "only {admitted} admitted in 30 s"
+        );
     }
 }
 
-/// Symptom: a window admits a second's worth too much. Sequence: a team sends
-/// six times its quota, from a standstill, to seventy entries that tell each
-/// other only every 1.5 s. Cause: what the others admit meanwhile counted as
-/// nothing until they told.
+/// Guards against a window that admits one second's quota too much. A team
+/// that sent nothing starts to send six times its quota to seventy entries,
+/// which exchange reports only every 1.5 s. The excess occurs when an entry
+/// ignores what the others admit between their reports.
 #[test]
 fn a_flood_at_many_entries_stays_near_the_quota() {
     for seed in 0..4 {
@@ -135,23 +153,22 @@
         let mut entries = Entries::open(70);
         entries.lag_ms = 750.0;
         for now in 0..30_000u64 {
-            entries.tell_some(now, |from| now % 1500 == from as u64 * 21);
+            entries.report_from(now, |from| now % 1500 == from as u64 * 21);
             if now > 5000 && rng.random_bool(RATE * 6.0 / 20.0 / 1000.0) {
                 let at = rng.random_range(0..70);
-                entries.ask(now, at, 20);
+                entries.admit(now, at, 20);
             }
         }
-        let most = entries.most_in(8000) as f64;
+        let admitted = entries.max_admitted_in(8000) as f64;
         let bound = (RATE * 8.0 + RATE) * 1.1 + RATE * 0.5;
-        assert!(most <= bound, "{most} in 8 s, seed {seed}");
+        assert!(admitted <= bound, "{admitted} admitted in 8 s, seed {seed}");
     }
 }
 
-/// Symptom: on a grown deployment a window exceeds a quota by a sixth, where a
-/// tenth and a little more is allowed. Sequence: a team that had used half of
-/// its quota sends ten times as much from one moment to the next, to all of
-/// seventy-four entries. Cause: what all admit before they hear of each other
-/// is more than the rest of the window makes up for.
+/// Guards against exceeding a quota by a sixth, where little more than a tenth
+/// is allowed. A team that used half of its quota suddenly sends ten times its
+/// quota to all of 74 entries. What the entries admit before they receive each
+/// other's reports is more than the rest of the window can compensate.
 #[test]
 fn a_sudden_flood_at_many_entries_stays_within_a_tenth() {
     let mut worst = 0.0_f64;
@@ -160,60 +177,63 @@
         let mut entries = Entries::open(74);
         entries.lag_ms = 750.0;
         for now in 0..24_000u64 {
-            entries.tell_some(now, |from| now % 1500 == from as u64 * 20);
-            let times = if now > 8000 { 10.0 } else { 0.5 };
-            if rng.random_bool(RATE * times / 20.0 / 1000.0) {
+            entries.report_from(now, |from| now % 1500 == from as u64 * 20);
+            let factor = if now > 8000 { 10.0 } else { 0.5 };
+            if rng.random_bool(RATE * factor / 20.0 / 1000.0) {
                 let at = rng.random_range(0..74);
-                entries.ask(now, at, 20);
+                entries.admit(now, at, 20);
             }
         }
-        worst = worst.max(entries.most_in(8000) as f64);
+        worst = worst.max(entries.max_admitted_in(8000) as f64);
     }
     let bound = (RATE * 8.0 + RATE) * 1.1 + RATE * 0.16;
-    assert!(worst <= bound, "{worst} in 8 s");
+    assert!(worst <= bound, "{worst} admitted in 8 s");
 }
 
-/// Symptom: a team is refused nearly everything for as long as it asks for
-/// too much, though its quota is not used. Sequence: it floods all entries;
-/// then all its requests come to one that has had hardly any of them. Cause:
-/// an entry that paces itself goes by the part that it has had.
+/// Guards against refusing nearly all requests of a team although its quota is
+/// unused. The team floods all entries; then all of its requests arrive at one
+/// entry that had received hardly any of them. The refusals occur when an
+/// entry paces itself by its past share of the requests.
 #[test]
-fn a_flood_that_moves_to_one_entry_is_not_stranded() {
+fn a_flood_that_moves_to_one_entry_may_use_its_quota() {
     let mut rng = StdRng::seed_from_u64(5);
     let mut entries = Entries::open(9);
     for now in 0..40_000u64 {
         if now % 300 == 0 {
-            entries.tell(now);
+            entries.report_all(now);
         }
         if rng.random_bool(RATE * 3.0 / 20.0 / 1000.0) {
-            let moved = now > 20_000;
-            let at = if moved { 8 } else { rng.random_range(0..8) };
-            entries.ask(now, at, 20);
+            let has_moved = now > 20_000;
+            let at = if has_moved { 8 } else { rng.random_range(0..8) };
+            entries.admit(now, at, 20);
         }
     }
-    let late = entries.admitted.iter().filter(|(at, _)| *at > 30_000);
-    let late: u64 = late.map(|(_, cost)| cost).sum();
-    assert!(late as f64 >= RATE * 10.0 * 0.8, "{late} in 10 s");
+    let admitted = entries.admitted.iter().filter(|(at, _)| *at > 30_000);
+    let admitted: u64 = admitted.map(|(_, cost)| cost).sum();
+    assert!(
+        admitted as f64 >= RATE * 10.0 * 0.8,
+        "only {admitted} admitted in 10 s"
+    );
 }
 
-/// Symptom: a team that stays within its quota is refused. Sequence: all its
-/// requests come to one entry. Cause: quotas split evenly between entries.
+/// Guards against quotas that are split evenly between entries: a team within
+/// its quota must not be refused when all of its requests arrive at one entry.
 #[test]
 fn one_entry_may_use_the_whole_quota() {
     let mut entries = Entries::open(9);
     for now in (0..20_000).step_by(20) {
-        entries.ask(now, 4, 20);
+        entries.admit(now, 4, 20);
         if now % 300 == 0 {
-            entries.tell(now);
+            entries.report_all(now);
         }
     }
     assert_eq!(entries.admitted.len(), 1000);
 }
 
-/// Symptom: an entry that has just started refuses everything. Cause: what
-/// the others have admitted since they started counts as used just now.
+/// Guards against a new entry that refuses all requests because it counts as
+/// current what the others have admitted since their start.
 #[test]
-fn a_new_entry_does_not_count_the_past() {
+fn a_new_entry_ignores_earlier_admissions() {
     let allowance = Allowance {
         rate: RATE,
         burst: RATE,
@@ -225,13 +245,13 @@
     let mut meter = Meter::open(0, allowance);
     meter.note(10, 7, 1_000_000, true);
     assert_eq!(meter.admit(20, allowance, 500, false), Ok(()));
-    // From then on it does.
+    // Later increases of the other entries' totals count.
     meter.note(2000, 7, 1_002_000, true);
     assert!(meter.admit(2000, allowance, 500, false).is_err());
 }
 
 #[test]
-fn the_wait_that_is_told_is_enough() {
+fn a_request_is_admitted_after_the_returned_wait() {
     let allowance = Allowance {
         rate: RATE,
         burst: RATE,
@@ -248,37 +268,41 @@
 
 // ---- Retry budgets -----------------------------------------------------------
 
-/// Any window of ten seconds stays within ratio and slack, over all entries,
-/// whatever comes when; against a plain count.
+/// In any window of ten seconds, the retries of all entries together stay
+/// within ratio and slack at any pattern of arrivals. Compared with a plain
+/// count.
 #[test]
-fn repeats_stay_within_their_bound() {
+fn retries_stay_within_their_bound() {
     let bound = Bound { ratio: 0.2, slack: 60.0, window_ms: 10_000 };
     for seed in 0..20 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut windows = vec![Window::open(bound); 6];
-        let (mut firsts, mut repeats) = (Vec::new(), Vec::new());
+        let (mut first_attempts, mut retries) = (Vec::new(), Vec::new());
         for now in (0..60_000u64).step_by(10) {
             let at = rng.random_range(0..6);
             let busy = (now / 7000) % 3;
             if rng.random_range(0..3) >= busy {
                 windows[at].sent(now);
-                firsts.push(now);
+                first_attempts.push(now);
             }
             if rng.random_bool(0.5) && windows[at].repeat(now, 6) {
-                repeats.push(now);
+                retries.push(now);
             }
         }
         let within = |all: &[u64], from: u64, until: u64| {
             all.iter().filter(|at| (from..until).contains(at)).count() as f32
         };
-        for &from in &repeats {
+        for &from in &retries {
             let until = from + bound.window_ms;
-            let count = within(&repeats, from, until);
+            let count = within(&retries, from, until);
             let before = from.saturating_sub(bound.window_ms);
-            let most = within(&firsts, from, until)
-                .max(within(&firsts, before, from));
-            let allowed = bound.ratio * most + bound.slack;
-            assert!(count <= allowed, "{count} > {allowed}, seed {seed}");
+            let max_first_attempts = within(&first_attempts, from, until)
+                .max(within(&first_attempts, before, from));
+            let allowed = bound.ratio * max_first_attempts + bound.slack;
+            assert!(
+                count <= allowed,
+                "{count} retries, {allowed} allowed, seed {seed}"
+            );
         }
     }
 }
@@ -301,11 +325,12 @@
         .collect()
 }
 
-/// A load that keeps `reading` replicas reading all the time.
-fn load(reading: f64) -> Load {
+/// Returns a load that keeps `computing` replicas computing prompts without
+/// pause.
+fn load(computing: f64) -> Load {
     let mut load = Load::open(0, 18);
     for second in 1..120u64 {
-        let sent = (second as f64 * reading * 1000.0) as u64;
+        let sent = (second as f64 * computing * 1000.0) as u64;
         load.note(second * 1000, vec![(1, sent)]);
     }
     load
@@ -319,19 +344,19 @@
     wishes.iter().map(|wish| wish.ordinary).sum()
 }
 
-/// Two data centres can lose their reclaimable replicas before anybody acts,
-/// and what is left carries the load.
+/// After two data centres lose their reclaimable replicas without a reaction,
+/// the remaining replicas still carry the load.
 #[test]
-fn two_data_centres_may_be_reclaimed() {
+fn two_reclaimed_data_centres_leave_enough_replicas() {
     let load = load(4.0);
     let wishes = wishes(&sites([9; 4], [0; 4]), &BOUNDS, &load);
-    let left: u32 = spots(&wishes).iter().skip(2).sum();
-    assert!(left as f32 * 0.4 >= 4.0, "{wishes:?}");
+    let remaining: u32 = spots(&wishes).iter().skip(2).sum();
+    assert!(remaining as f32 * 0.4 >= 4.0, "{wishes:?}");
     assert_eq!(ordinaries(&wishes), 0);
 }
 
-/// Symptom: after a reclaim too few replicas are left for many seconds.
-/// Sequence: a data centre gives notice and none are to be had there.
+/// Guards against too few replicas for many seconds after a reclaim, when
+/// reclaimable replicas are unavailable in that data centre.
 #[test]
 fn ordinary_replicas_stand_in_for_reclaimed_ones() {
     let load = load(4.0);
@@ -345,10 +370,10 @@
     assert!(wishes.iter().all(|wish| wish.ordinary <= cheapest));
 }
 
-/// Symptom: replicas that carry the load are let go while those that are to
-/// replace them have not booted.
+/// Guards against releasing replicas that carry the load before their
+/// replacements have booted.
 #[test]
-fn nothing_is_let_go_before_its_replacement_serves() {
+fn no_replica_is_released_before_its_replacement_serves() {
     let load = load(4.0);
     let start = sites([0; 4], [5, 5, 4, 4]);
     let wishes = wishes(&start, &BOUNDS, &load);
@@ -356,39 +381,42 @@
     assert!(spots(&wishes).iter().all(|spot| *spot >= 5));
 }
 
-/// Symptom: all caches are cold at once. Sequence: reclaimable replicas are
-/// back after a reclaim, and all ordinary ones go in the same second.
+/// Guards against all caches being cold at once, as when all ordinary replicas
+/// are released in the second in which reclaimable replicas are back.
 #[test]
-fn under_load_replicas_are_let_go_a_few_at_a_time() {
+fn under_load_replicas_are_released_a_few_at_a_time() {
     let load = load(4.0);
-    let back = sites([5; 4], [4, 4, 3, 3]);
-    let wishes = wishes(&back, &BOUNDS, &load);
-    let gone = 14 - ordinaries(&wishes);
-    assert!((1..=2).contains(&gone), "{gone} at once");
+    let reclaimable_back = sites([5; 4], [4, 4, 3, 3]);
+    let wishes = wishes(&reclaimable_back, &BOUNDS, &load);
+    let released = 14 - ordinaries(&wishes);
+    assert!((1..=2).contains(&released), "{released} released at once");
 }
 
-/// Symptom: a shortage ends in orders of everything there is. Cause: the load
-/// was measured by requests under way, which pile up when replicas are few.
+/// Guards against orders of all available replicas during a shortage. They
+/// occur when the load is measured by requests in flight, which accumulate
+/// when replicas are few.
 #[test]
-fn the_need_does_not_grow_with_delays() {
-    // The same prompts, however long they wait to be read.
-    let calm = wishes(&sites([5; 4], [0; 4]), &BOUNDS, &load(4.0));
+fn the_target_does_not_grow_with_delays() {
+    // The load is the same, however long the prompts wait to be computed.
+    let with_enough = wishes(&sites([5; 4], [0; 4]), &BOUNDS, &load(4.0));
     let short = wishes(&sites([1; 4], [0; 4]), &BOUNDS, &load(4.0));
-    assert_eq!(spots(&calm), spots(&short));
+    assert_eq!(spots(&with_enough), spots(&short));
 }
 
-/// A new leader knows nothing of the load yet: it keeps what it finds.
+/// A new leader has not measured the load yet and keeps the replicas that are
+/// present.
 #[test]
-fn before_any_load_was_seen_what_is_there_counts() {
+fn present_replicas_are_kept_before_any_load() {
     let load = Load::open(0, 18);
     let wishes = wishes(&sites([0; 4], [5, 5, 4, 4]), &BOUNDS, &load);
     assert!(spots(&wishes).iter().sum::<u32>() >= 18, "{wishes:?}");
 }
 
-/// Symptom: four replicas of eighteen meet the first rush. Sequence: the
-/// first look comes when a fifth of them has announced itself.
+/// Guards against meeting the first rush with four of eighteen replicas, when
+/// the first observation takes place after only a fifth of them have announced
+/// themselves.
 #[test]
-fn replicas_that_announce_themselves_late_count_too() {
+fn replicas_that_announce_themselves_late_count() {
     let mut load = Load::open(0, 3);
     load.note(500, Vec::new());
     load.find(18);
@@ -396,20 +424,21 @@
     assert!((load.peak() - Load::open(0, 18).peak()).abs() < 0.01);
 }
 
-/// Symptom: requests served in time fall from 0.8 to 0.2 for twenty seconds.
-/// Sequence: many replicas with warm caches read little; half of them are let
-/// go for it, and with them their caches; those that are left read more than
-/// they can. Cause: the number followed the load of the last seconds, and the
-/// load follows the number.
+/// Guards against a drop of requests served in time from 0.8 to 0.2 for twenty
+/// seconds. Many replicas with warm caches compute little. If half of them are
+/// released for that reason, their caches are lost and the remaining replicas
+/// have more to compute than they can. This occurs when the number of replicas
+/// follows the load of the last seconds, because the load depends on that
+/// number.
 #[test]
-fn replicas_whose_caches_save_the_reading_are_kept() {
+fn replicas_whose_caches_reduce_the_load_are_kept() {
     let mut load = Load::open(0, 140);
     let bounds = Bounds { most: 70, ..BOUNDS };
     let mut spot = [40; 4];
     for second in 1..=60u64 {
-        // Caches fill up: 50 replicas' time for reading, then 20.
-        let reading = if second < 20 { 50 } else { 20 };
-        let sent = second.min(20) * 50 + second.saturating_sub(20) * reading;
+        // The caches fill up: the load falls from 50 replicas' time to 20.
+        let computing = if second < 20 { 50 } else { 20 };
+        let sent = second.min(20) * 50 + second.saturating_sub(20) * computing;
         load.note(second * 1000, vec![(1, sent * 1000)]);
         let wishes = wishes(&sites(spot, [0; 4]), &bounds, &load);
         for (at, wish) in wishes.iter().enumerate() {
@@ -419,19 +448,19 @@
     }
 }
 
-/// Symptom: hundreds of replicas are ordered and let go on a quiet day, each
-/// with a cold cache. Cause: every change of the load by a hundredth is a new
-/// order.
+/// Guards against ordering and releasing hundreds of replicas with cold caches
+/// on a quiet day, which occurs when every change of the load by a hundredth
+/// leads to a new order.
 #[test]
-fn a_load_that_goes_up_and_down_changes_little() {
+fn a_fluctuating_load_causes_few_orders() {
     let mut rng = StdRng::seed_from_u64(7);
     let mut load = Load::open(0, 140);
     let bounds = Bounds { most: 70, ..BOUNDS };
     let mut spot = [38; 4];
     let (mut orders, mut sent) = (0, 0);
-    for half in 1..=120u64 {
+    for half_second in 1..=120u64 {
         sent += rng.random_range(16_000..26_000_u64);
-        load.note(half * 500, vec![(1, sent)]);
+        load.note(half_second * 500, vec![(1, sent)]);
         let wishes = wishes(&sites(spot, [0; 4]), &bounds, &load);
         for (at, wish) in wishes.iter().enumerate() {
             orders += usize::from(wish.spot != spot[at]);
@@ -441,21 +470,21 @@
     assert!(orders <= 12, "{orders} orders in a minute");
 }
 
-/// Symptom: a hundred replicas leave in the same second, and their caches with
-/// them. Sequence: the load has been low for a minute. Cause: whatever was
-/// beyond the wish was let go at once.
+/// Guards against releasing a hundred replicas and their caches in the same
+/// second, which occurs when the whole surplus over the target is released at
+/// once after a minute of low load.
 #[test]
-fn reclaimable_replicas_are_let_go_a_few_at_a_time_too() {
+fn surplus_reclaimable_replicas_are_released_a_few_at_a_time() {
     let load = load(4.0);
     let bounds = Bounds { most: 70, ..BOUNDS };
     let wishes = wishes(&sites([60; 4], [0; 4]), &bounds, &load);
     assert!(spots(&wishes).iter().all(|spot| (55..60).contains(spot)));
 }
 
-/// Symptom: replicas are let go the moment another node leads. Sequence: the
-/// new leader has started a moment ago and has seen little of the load.
+/// Guards against releasing replicas on a change of leader: a leader that has
+/// just started has observed little of the load.
 #[test]
-fn a_node_that_has_just_begun_to_watch_lets_nothing_go() {
+fn a_node_that_has_just_started_releases_no_replicas() {
     let mut load = Load::open(0, found(0, 160, 4));
     load.note(500, vec![(1, 100)]);
     load.note(5000, vec![(1, 2000)]);
@@ -464,13 +493,13 @@
     assert_eq!(spots(&wishes), [50; 4]);
 }
 
-/// Symptom: half of the replicas that were ordered come six seconds late, in
-/// the first rush. Sequence: ordinary replicas take half of what a data
-/// centre may have; more reclaimable ones are ordered than fit beside them.
-/// Cause: the order stayed the same when the others had gone, so it was not
-/// given again at once.
+/// Guards against half of the ordered replicas arriving six seconds late in
+/// the first rush. Ordinary replicas take up half of what a data centre may
+/// have, and more reclaimable replicas are ordered than fit beside them. The
+/// order must grow when the ordinary replicas have been released: an unchanged
+/// order is not repeated at once.
 #[test]
-fn a_wish_fits_beside_the_ordinary_replicas_and_grows_as_they_go() {
+fn a_target_fits_beside_ordinary_replicas_and_grows_as_they_go() {
     let load = Load::open(0, 140);
     let bounds = Bounds { most: 70, lag_ms: 750.0, ..BOUNDS };
     let before = wishes(&sites([0; 4], [35; 4]), &bounds, &load);
@@ -479,28 +508,32 @@
     assert!(spots(&after).iter().all(|spot| *spot > 35), "{after:?}");
 }
 
-/// Symptom: prompts wait behind each other although other replicas are idle.
-/// Sequence: seventy entries know of each other's requests 0.75 s late. Cause:
-/// replicas were as many as for nine entries, which know it at once.
+/// Guards against prompts that queue behind each other while other replicas
+/// are idle. Seventy entries know of each other's requests 0.75 s late and
+/// therefore need more replicas than nine entries that know at once.
 #[test]
-fn where_entries_know_little_of_each_other_replicas_are_more() {
+fn a_longer_propagation_delay_needs_more_replicas() {
     let load = load(4.0);
-    let many = Bounds { lag_ms: 750.0, most: 70, ..BOUNDS };
-    let few = Bounds { most: 70, ..BOUNDS };
+    let long_delay = Bounds { lag_ms: 750.0, most: 70, ..BOUNDS };
+    let no_delay = Bounds { most: 70, ..BOUNDS };
     let each = |bounds| spots(&wishes(&sites([0; 4], [0; 4]), bounds, &load));
-    assert!(each(&many)[0] * 10 >= each(&few)[0] * 11, "{:?}", each(&many));
-    // Ordinary ones are as many as without.
+    assert!(
+        each(&long_delay)[0] * 10 >= each(&no_delay)[0] * 11,
+        "{:?}",
+        each(&long_delay)
+    );
+    // The number of ordinary replicas does not depend on the delay.
     let short = sites([2; 4], [0; 4]);
     let mut short = short;
     short.iter_mut().for_each(|site| site.dry = true);
-    let stand_in = |bounds| ordinaries(&wishes(&short, bounds, &load));
-    assert_eq!(stand_in(&many), stand_in(&few));
+    let ordinary_count = |bounds| ordinaries(&wishes(&short, bounds, &load));
+    assert_eq!(ordinary_count(&long_delay), ordinary_count(&no_delay));
 }
 
-/// Whoever watches from the start and whoever sees only what was ordered
-/// wish for the same, and for the same again after that.
+/// A node that observes from the start and a node that sees only the ordered
+/// replicas must arrive at the same target, and keep it from then on.
 #[test]
-fn what_was_ordered_tells_what_was_found() {
+fn ordered_replicas_show_the_initial_size() {
     for (count, sites) in [(18, 4), (140, 4), (140, 5), (10, 2)] {
         let kept = (count as f32 * 0.8).ceil() as usize;
         let each = kept.div_ceil(sites - 1);
@@ -512,7 +545,7 @@
 }
 
 #[test]
-fn no_data_centre_gets_more_than_it_may_have() {
+fn no_data_centre_exceeds_its_maximum() {
     for spot in 0..=10 {
         let mut short = sites([spot; 4], [3; 4]);
         short[0].dry = true;
