--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -1,4 +1,4 @@
-//! The speed of decisions, against naive ones.
+//! Measures the speed of decisions against naive implementations.
 //!
 //! ```text
 //! cargo bench --bench decide
@@ -16,17 +16,18 @@
     route::{Ask, Identity, Policy, Pool, Standing, Weights},
 };
 
-/// Runs `act` for a while; nanoseconds for one run.
+/// Runs `act` repeatedly for about 0.7 s and returns the time of one run, in
+/// ns.
 fn time(mut act: impl FnMut(u64)) -> f64 {
     let mut count = 0;
-    let began = Instant::now();
-    while began.elapsed() < Duration::from_millis(700) {
+    let started_at = Instant::now();
+    while started_at.elapsed() < Duration::from_millis(700) {
         for _ in 0..256 {
             act(count);
             count += 1;
         }
     }
-    began.elapsed().as_nanos() as f64 / count as f64
+    started_at.elapsed().as_nanos() as f64 / count as f64
 }
 
 fn identities(count: usize) -> Vec<Identity> {
@@ -43,31 +44,31 @@
         .collect()
 }
 
-/// The same decision with a map of strings and a full scan of the prefix.
+/// The same decision with maps keyed by strings and a full scan of the prefix.
 struct Naive {
     loads: HashMap<String, f32>,
     held: HashMap<String, Vec<u64>>,
 }
 
 impl Naive {
-    fn pick(&self, tokens: f32, wanted: &[u64]) -> Option<String> {
+    fn pick(&self, tokens: f32, blocks: &[u64]) -> Option<String> {
         let cost = |id: &String, load: &f32| {
             let held = self.held.get(id);
-            let matched = wanted
+            let matched = blocks
                 .iter()
                 .take_while(|block| {
                     held.is_some_and(|held| held.contains(block))
                 })
                 .count();
-            let fresh = tokens - matched as f32 * 64.0;
+            let uncached = tokens - matched as f32 * 64.0;
             (load + 1.0 - 8.0).max(0.0) / 8.0 * 2000.0
                 + load.min(8.0) * 10.0
-                + fresh * 0.5
+                + uncached * 0.5
         };
         self.loads
             .iter()
-            .min_by(|one, other| {
-                cost(one.0, one.1).total_cmp(&cost(other.0, other.1))
+            .min_by(|left, right| {
+                cost(left.0, left.1).total_cmp(&cost(right.0, right.1))
             })
             .map(|(id, _)| id.clone())
     }
@@ -85,7 +86,7 @@
         let mut pool = Pool::open(Policy::Cost, Weights::default(), 1);
         pool.set_replicas("a", &identities(count));
         pool.set_peers(10);
-        let route = time(|number| {
+        let route_ns = time(|number| {
             let blocks = &prompts[number as usize % prompts.len()];
             let ask = Ask { tokens: 3600, blocks, ends: &[], avoid: &[] };
             let now = number / 100;
@@ -97,24 +98,24 @@
             loads: identities(count)
                 .into_iter()
                 .enumerate()
-                .map(|(number, one)| (one.id, (number % 7) as f32))
+                .map(|(number, identity)| (identity.id, (number % 7) as f32))
                 .collect(),
             held: identities(count)
                 .into_iter()
                 .enumerate()
-                .map(|(number, one)| {
+                .map(|(number, identity)| {
                     let held = prompts[number % prompts.len()].clone();
-                    (one.id, held)
+                    (identity.id, held)
                 })
                 .collect(),
         };
-        let slow = time(|number| {
+        let naive_ns = time(|number| {
             let blocks = &prompts[number as usize % prompts.len()];
             black_box(naive.pick(3600.0, blocks));
         });
         let name = format!("route, 3,600 tokens, {count} replicas");
-        println!("{name:36} {route:10.0} {slow:10.0}");
-        let short = time(|number| {
+        println!("{name:36} {route_ns:10.0} {naive_ns:10.0}");
+        let short_ns = time(|number| {
             let ask = Ask { tokens: 30, blocks: &[], ends: &[], avoid: &[] };
             let now = number / 100;
             if let Some(choice) = pool.pick(now, &ask) {
@@ -122,7 +123,7 @@
             }
         });
         let name = format!("route, short, {count} replicas");
-        println!("{name:36} {short:10.0}");
+        println!("{name:36} {short_ns:10.0}");
     }
     for count in [5, 50, 500] {
         let names: Vec<String> =
@@ -131,7 +132,7 @@
         let teams = names.iter().map(|name| (name.as_str(), 2));
         gate.set_teams(teams, 1024);
         let room = Room { slots: 4800, load: 0, entries: 11 };
-        let admit = time(|number| {
+        let admit_ns = time(|number| {
             let name = &names[number as usize % names.len()];
             let arrival = gate.arrive(number, room, name, 500.0, u64::MAX);
             if arrival == Arrival::Start {
@@ -139,6 +140,6 @@
             }
         });
         let name = format!("admit and end, {count} teams");
-        println!("{name:36} {admit:10.0}");
+        println!("{name:36} {admit_ns:10.0}");
     }
 }
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -1,15 +1,15 @@
-//! Routing policies side by side, in one system, on the users' shapes.
+//! Compares routing policies in one system, on the users' workloads.
 //!
 //! ```text
 //! cargo bench --bench policy -- echipaj|roddur|herd [engines entries rate seconds]
 //! ```
 //!
-//! Starts control, entries and stand-in engines as processes, puts one policy
-//! after the other in force, sends each the same requests at the same times
-//! (with texts of its own, so that no cache helps the next policy), and counts
-//! at the engines. Load reports are a second old, a fifth of cache events is
-//! lost. "recomputed" is every computed prompt token beyond the first time
-//! that its block was computed anywhere.
+//! Starts control, entries and stand-in engines as processes. Activates one
+//! policy after the other and sends each the same requests at the same times,
+//! with different texts, so that no cache helps the next policy. Counts at the
+//! engines. Load reports are one second old, and a fifth of the cache events
+//! is lost. "recomputed" is the number of computed prompt tokens beyond the
+//! first computation of each block on any engine.
 
 #[path = "../tests/all/cluster.rs"]
 #[allow(dead_code)]
@@ -61,21 +61,21 @@
 "#;
 
 #[derive(Clone)]
-struct Plan {
+struct Request {
     at: Duration,
     prompt: String,
     tokens: u64,
-    long: bool,
+    is_long: bool,
 }
 
-/// Text that is the same for the same words, of about `tokens` tokens.
+/// Returns a deterministic text of about `tokens` tokens.
 fn text(name: &str, tokens: usize) -> String {
-    let word = format!("{name} ");
-    word.repeat((tokens * 4).div_ceil(word.len()))
+    let phrase = format!("{name} ");
+    phrase.repeat((tokens * 4).div_ceil(phrase.len()))
 }
 
 /// Long contract packets with shared prefixes among short questions.
-fn echipaj(policy: &str, rate: f64, seconds: u64) -> Vec<Plan> {
+fn echipaj(policy: &str, rate: f64, seconds: u64) -> Vec<Request> {
     poisson(rate, seconds, |rng| {
         let packet = rng.random_range(0..24);
         if rng.random_range(0..100) < 35 {
@@ -90,29 +90,29 @@
     })
 }
 
-/// The morning digest in a burst, over questions from classrooms.
-fn roddur(policy: &str, rate: f64, seconds: u64) -> Vec<Plan> {
-    let mut plans = poisson(rate, seconds, |rng| {
+/// A burst of morning digests on top of questions from classrooms.
+fn roddur(policy: &str, rate: f64, seconds: u64) -> Vec<Request> {
+    let mut requests = poisson(rate, seconds, |rng| {
         let intro = text(&format!("{policy} school"), 256);
         (format!("{intro} ask {}", rng.random::<u32>()), 24, false)
     });
     let burst = Duration::from_secs(seconds / 3);
     for school in 0..(rate * 4.0) as usize {
         let district = text(&format!("{policy} {}", school % 12), 1500);
-        plans.push(Plan {
+        requests.push(Request {
             at: burst + Duration::from_millis(10 * school as u64),
             prompt: format!("{district} school {school}"),
             tokens: 24,
-            long: true,
+            is_long: true,
         });
     }
-    plans.sort_by_key(|plan| plan.at);
-    plans
+    requests.sort_by_key(|request| request.at);
+    requests
 }
 
-/// Long answers to short questions, near all slots taken: nothing to gain
-/// from caches, everything to lose from herding.
-fn herd(policy: &str, rate: f64, seconds: u64) -> Vec<Plan> {
+/// Long answers to short questions with nearly all slots taken: caches do not
+/// help, and requests that herd to one engine cost the most.
+fn herd(policy: &str, rate: f64, seconds: u64) -> Vec<Request> {
     poisson(rate, seconds, |rng| {
         (format!("{policy} ask {}", rng.random::<u32>()), 100, false)
     })
@@ -121,23 +121,23 @@
 fn poisson(
     rate: f64,
     seconds: u64,
-    mut make: impl FnMut(&mut StdRng) -> (String, u64, bool),
-) -> Vec<Plan> {
+    mut draw_request: impl FnMut(&mut StdRng) -> (String, u64, bool),
+) -> Vec<Request> {
     let mut rng = StdRng::seed_from_u64(42);
     let mut at = 0.0;
-    let mut plans = Vec::new();
+    let mut requests = Vec::new();
     while at < seconds as f64 {
         let draw: f64 = rng.random_range(1e-9..1.0);
         at -= draw.ln() / rate;
-        let (prompt, tokens, long) = make(&mut rng);
+        let (prompt, tokens, is_long) = draw_request(&mut rng);
         let at = Duration::from_secs_f64(at);
-        plans.push(Plan { at, prompt, tokens, long });
+        requests.push(Request { at, prompt, tokens, is_long });
     }
-    plans
+    requests
 }
 
 #[derive(Default)]
-struct Seen {
+struct Results {
     first: Vec<f64>,
     first_short: Vec<f64>,
     failed: usize,
@@ -150,17 +150,17 @@
 }
 
 async fn send(
-    plan: Plan,
+    request: Request,
     address: std::net::SocketAddr,
     dispatcher: Arc<Dispatcher>,
-    seen: Arc<Mutex<Seen>>,
+    results: Arc<Mutex<Results>>,
 ) {
     let body = json!({
-        "model": "model", "stream": true, "max_tokens": plan.tokens,
-        "messages": [{ "role": "user", "content": plan.prompt }],
+        "model": "model", "stream": true, "max_tokens": request.tokens,
+        "messages": [{ "role": "user", "content": request.prompt }],
     });
     let mut headers = HeaderMap::new();
-    let team = if plan.long { "long" } else { "short" };
+    let team = if request.is_long { "long" } else { "short" };
     headers.insert("azuremount-team", HeaderValue::from_static(team));
     let call = Call {
         address,
@@ -169,30 +169,32 @@
         headers,
         body: body.to_string().into(),
     };
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut first = None;
-    let mut whole = false;
+    let mut is_complete = false;
     if let Ok(response) = dispatcher.open_raw(call, LONG).await {
         let mut events =
             BodyDataStream::new(response.into_body()).eventsource();
         while let Some(Ok(event)) = events.next().await {
-            first.get_or_insert_with(|| began.elapsed().as_secs_f64() * 1e3);
-            whole |= event.data == "[DONE]";
+            first.get_or_insert_with(|| {
+                started_at.elapsed().as_secs_f64() * 1e3
+            });
+            is_complete |= event.data == "[DONE]";
         }
     }
-    let mut seen = seen.lock().expect("seen");
-    match (first, whole) {
+    let mut results = results.lock().expect("results");
+    match (first, is_complete) {
         (Some(first), true) => {
-            seen.first.push(first);
-            if !plan.long {
-                seen.first_short.push(first);
+            results.first.push(first);
+            if !request.is_long {
+                results.first_short.push(first);
             }
         }
-        _ => seen.failed += 1,
+        _ => results.failed += 1,
     }
 }
 
-fn computed(cluster: &Cluster) -> u64 {
+fn computed_tokens(cluster: &Cluster) -> u64 {
     let engines = cluster.names(Role::Model);
     let counts = engines.iter().map(|name| {
         let stats = cluster.get(name, "/standin/stats");
@@ -201,8 +203,9 @@
     counts.sum()
 }
 
-/// Seconds that requests waited for admission, summed over all entries.
-fn gate_seconds(cluster: &Cluster) -> f64 {
+/// Returns the time that requests waited for admission, in seconds, summed
+/// over all entries.
+fn admission_wait_seconds(cluster: &Cluster) -> f64 {
     let mut sum = 0.0;
     for name in cluster.names(Role::Entry) {
         let answer = cluster.http(&name, Method::GET, "/metrics", &[], "");
@@ -220,23 +223,27 @@
 }
 
 fn main() {
-    let words: Vec<String> = std::env::args()
+    let arguments: Vec<String> = std::env::args()
         .skip(1)
-        .filter(|word| !word.starts_with("--"))
+        .filter(|argument| !argument.starts_with("--"))
         .collect();
-    let shape = words.first().map_or("echipaj", String::as_str);
-    let number = |at: usize, default: f64| {
-        words.get(at).map_or(default, |word| word.parse().expect("a number"))
+    let workload = arguments.first().map_or("echipaj", String::as_str);
+    let parse_argument = |at: usize, default: f64| {
+        arguments
+            .get(at)
+            .map_or(default, |argument| argument.parse().expect("a number"))
     };
-    let (engines, entries) = (number(1, 20.0) as u8, number(2, 11.0) as u8);
-    let (rate, seconds) = (number(3, 30.0), number(4, 20.0) as u64);
+    let (engines, entries) =
+        (parse_argument(1, 20.0) as u8, parse_argument(2, 11.0) as u8);
+    let (rate, seconds) =
+        (parse_argument(3, 30.0), parse_argument(4, 20.0) as u64);
     let sites = ["a", "b", "c", "d"].map(str::to_owned).to_vec();
     let cluster = Cluster::open(Shape {
         controls: 3,
         entries,
         models: engines,
         plains: 0,
-        base: base(shape, "cost"),
+        base: base(workload, "cost"),
         sites,
         control_flags: Vec::new(),
         model_flags: [
@@ -257,7 +264,7 @@
         relay_endpoints: false,
     });
     println!(
-        "{shape}: {engines} engines, {entries} entries, {rate} requests/s, \
+        "{workload}: {engines} engines, {entries} entries, {rate} requests/s, \
          {seconds} s for each policy"
     );
     println!(
@@ -271,7 +278,7 @@
         "gate ms",
         "failed"
     );
-    let chosen: Vec<&str> = match words.get(5) {
+    let policies: Vec<&str> = match arguments.get(5) {
         Some(list) => list.split(',').collect(),
         None => vec![
             "random",
@@ -282,30 +289,31 @@
         ],
     };
     let mut cluster = cluster;
-    for (number, policy) in chosen.iter().enumerate() {
-        run(&mut cluster, shape, policy, number as u64, rate, seconds);
+    for (number, policy) in policies.iter().enumerate() {
+        run(&mut cluster, workload, policy, number as u64, rate, seconds);
     }
 }
 
-/// As in the samples: Echipaj weighs recomputed tokens more than their time.
-fn base(shape: &str, policy: &str) -> String {
-    let percent = if shape == "echipaj" { "300" } else { "100" };
+/// As in the samples: for Echipaj, recomputed tokens weigh more than the time
+/// that they take.
+fn base(workload: &str, policy: &str) -> String {
+    let percent = if workload == "echipaj" { "300" } else { "100" };
     BASE.replace("POLICY", policy).replace("PERCENT", percent)
 }
 
 fn run(
     cluster: &mut Cluster,
-    shape: &str,
+    workload: &str,
     policy: &str,
     revision: u64,
     rate: f64,
     seconds: u64,
 ) {
-    cluster.shape.base = base(shape, policy);
+    cluster.shape.base = base(workload, policy);
     let config = cluster.config(&format!("bench-{revision}"), revision, 8000);
     let applied = cluster.propose(change::Kind::Apply(config));
     let Some(outcome::Kind::Apply(applied)) = applied.expect("ok").kind else {
-        panic!("no outcome");
+        panic!("no outcome of the configuration change");
     };
     let accepted = apply_outcome::Result::Accepted as i32;
     assert_eq!(applied.result, accepted, "{applied:?}");
@@ -321,53 +329,58 @@
                 .all(|entry| entry.serving && entry.in_force > revision)
     });
     let salt = format!("{policy}{revision}");
-    let plans = match shape {
+    let requests = match workload {
         "roddur" => roddur(&salt, rate, seconds),
         "herd" => herd(&salt, rate, seconds),
         _ => echipaj(&salt, rate, seconds),
     };
-    let mut known = HashSet::new();
-    let unique: u64 = plans
+    let mut computed_blocks = HashSet::new();
+    let unique_tokens: u64 = requests
         .iter()
-        .map(|plan| {
-            let prompt = format!("user\n{}\n", plan.prompt);
+        .map(|request| {
+            let prompt = format!("user\n{}\n", request.prompt);
             let all = blocks(prompt.as_bytes());
-            let old =
-                all.iter().filter(|block| !known.insert(**block)).count();
+            let repeated = all
+                .iter()
+                .filter(|block| !computed_blocks.insert(**block))
+                .count();
             let tokens = prompt.len() as u64 / 4;
-            tokens - old as u64 * u64::from(BLOCK_TOKENS)
+            tokens - repeated as u64 * u64::from(BLOCK_TOKENS)
         })
         .sum();
-    let before = computed(cluster);
-    let waited = gate_seconds(cluster);
+    let computed_before = computed_tokens(cluster);
+    let waited_before = admission_wait_seconds(cluster);
     let addresses: Vec<_> =
         entries.iter().map(|name| cluster.address(name)).collect();
     let dispatcher = Arc::new(Dispatcher::open());
-    let seen = Arc::new(Mutex::new(Seen::default()));
-    let count = plans.len();
+    let results = Arc::new(Mutex::new(Results::default()));
+    let count = requests.len();
     cluster.runtime.block_on(async {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let mut tasks = Vec::new();
-        for (number, plan) in plans.into_iter().enumerate() {
-            let wait = plan.at.saturating_sub(began.elapsed());
+        for (number, request) in requests.into_iter().enumerate() {
+            let wait = request.at.saturating_sub(started_at.elapsed());
             tokio::time::sleep(wait).await;
             let address = addresses[number % addresses.len()];
-            let sent = send(plan, address, dispatcher.clone(), seen.clone());
+            let sent =
+                send(request, address, dispatcher.clone(), results.clone());
             tasks.push(tokio::spawn(sent));
         }
         for task in tasks {
             let _ = task.await;
         }
     });
-    let recomputed = (computed(cluster) - before).saturating_sub(unique);
-    let waited = (gate_seconds(cluster) - waited) * 1e3 / count as f64;
-    let mut seen = seen.lock().expect("seen");
-    let failed = seen.failed;
+    let recomputed = (computed_tokens(cluster) - computed_before)
+        .saturating_sub(unique_tokens);
+    let mean_wait_ms =
+        (admission_wait_seconds(cluster) - waited_before) * 1e3 / count as f64;
+    let mut results = results.lock().expect("results");
+    let failed = results.failed;
     println!(
         "{policy:18} {count:6} {recomputed:11} {:8.0} {:8.0} {:9.0} \
-         {waited:8.0} {failed:7}",
-        percentile(&mut seen.first, 50),
-        percentile(&mut seen.first, 95),
-        percentile(&mut seen.first_short, 95),
+         {mean_wait_ms:8.0} {failed:7}",
+        percentile(&mut results.first, 50),
+        percentile(&mut results.first, 95),
+        percentile(&mut results.first_short, 95),
     );
 }
--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -1,13 +1,12 @@
-//! What a node's knowledge of the replicas costs it, by their number.
+//! Measures what tracking replicas costs a node, by the number of replicas.
 //!
 //! ```text
 //! cargo bench --bench scale
 //! ```
 //!
-//! Each row is one thing that a node does, in microseconds, and how often an
-//! active node does it each second: heartbeats come in from the nodes that the
-//! replicas call, and all that is known is looked at once a round and at each
-//! piece of news.
+//! Each column is the time of one operation of a node, in microseconds. An
+//! active node receives heartbeats from the nodes that the replicas call. It
+//! refreshes its view of all replicas once a round and after each report.
 
 use std::{
     hint::black_box,
@@ -21,20 +20,21 @@
     wire::{Beat, Cached, Gossip, Peer, Sighting},
 };
 
-/// Replicas' heartbeats told in one datagram.
-const BEATS: u64 = 32;
-/// Parts of prompts told in one datagram.
-const PARTS: u64 = 64;
+/// Number of replica heartbeats in one datagram.
+const BEATS_PER_DATAGRAM: u64 = 32;
+/// Number of prompt parts in one datagram.
+const PARTS_PER_DATAGRAM: u64 = 64;
 
-/// Microseconds for one run.
+/// Runs `act` repeatedly for about 0.4 s and returns the time of one run, in
+/// microseconds.
 fn time(mut act: impl FnMut(u64)) -> f64 {
     let mut count = 0;
-    let began = Instant::now();
-    while began.elapsed() < Duration::from_millis(400) {
+    let started_at = Instant::now();
+    while started_at.elapsed() < Duration::from_millis(400) {
         act(count);
         count += 1;
     }
-    began.elapsed().as_micros() as f64 / count as f64
+    started_at.elapsed().as_micros() as f64 / count as f64
 }
 
 fn sighting(number: u64, sequence: u64) -> Sighting {
@@ -58,22 +58,25 @@
     println!("replicas | beats | sighting | caches | refresh | pick | round");
     for replicas in [300, 1000, 3000] {
         let mut table = Table::open(peer(1));
-        let first: Vec<Sighting> =
+        let sightings: Vec<Sighting> =
             (0..replicas).map(|at| sighting(at, 1)).collect();
-        for says in &first {
-            table.sight(0, says.clone(), false);
+        for sighting in &sightings {
+            table.sight(0, sighting.clone(), false);
         }
-        let hashes: Vec<u64> =
-            first.iter().map(|one| replica_hash(&one.id)).collect();
+        let hashes: Vec<u64> = sightings
+            .iter()
+            .map(|sighting| replica_hash(&sighting.id))
+            .collect();
         let bound = Bound { ratio: 0.2, slack: 100.0, window_ms: 10_000 };
         let mut fleet = Fleet::open("dc-1", bound);
         fleet.refresh(10, &table, None);
         let datagram = |turn: u64| Gossip {
             from: Some(Peer { beat: turn + 1, ..peer(2) }),
-            beats: (0..BEATS)
+            beats: (0..BEATS_PER_DATAGRAM)
                 .map(|step| Beat {
-                    replica: hashes
-                        [((turn * BEATS + step) % replicas) as usize],
+                    replica: hashes[((turn * BEATS_PER_DATAGRAM + step)
+                        % replicas)
+                        as usize],
                     sequence: 2 + turn,
                     age_ms: 100,
                 })
@@ -84,18 +87,18 @@
             black_box(table.hear(20, 20, datagram(turn)));
         });
         let mut sequence = 1 << 40;
-        let told = time(|turn| {
+        let sight = time(|turn| {
             sequence += 1;
-            let says = sighting(turn % replicas, sequence);
-            black_box(table.sight(20, says, true));
+            let sighting = sighting(turn % replicas, sequence);
+            black_box(table.sight(20, sighting, true));
         });
         let service = replica_hash("llm");
         let caches = time(|turn| {
-            let parts: Vec<Cached> = (0..PARTS)
+            let parts: Vec<Cached> = (0..PARTS_PER_DATAGRAM)
                 .map(|step| Cached {
                     service,
                     replica: hashes[((turn * 7 + step) % replicas) as usize],
-                    path: (turn * PARTS + step) % 4096,
+                    path: (turn * PARTS_PER_DATAGRAM + step) % 4096,
                     blocks: 8,
                 })
                 .collect();
@@ -114,7 +117,7 @@
             black_box(table.compose(20, turn as i64, Own::default()));
         });
         println!(
-            "{replicas:8} | {beats:5.1} | {told:8.1} | {caches:6.1} | \
+            "{replicas:8} | {beats:5.1} | {sight:8.1} | {caches:6.1} | \
              {refresh:7.0} | {pick:4.1} | {round:5.1}"
         );
     }
