--- a/src/gateway/ending.rs
+++ b/src/gateway/ending.rs
@@ -1,28 +1,29 @@
-//! Whether a replica has ended while requests were under way there.
+//! Detects replicas that crashed while requests were in flight there.
 //!
-//! A replica may close one connection, lose one answer, be slow, be cut off
-//! from this node, or end with all that it had. Only the last says something
-//! about the requests that were there. Connections alone don't tell: while a
-//! replica is away, its port may refuse them, a relay or a host that takes over
-//! its address may accept and close them, or nothing may answer. What the
-//! replica says of itself does:
+//! A replica may close one connection, lose one response, be slow, be cut off
+//! from this node, or crash. Only a crash is evidence against the requests
+//! that were in flight. Connections alone do not show a crash: while a replica
+//! is away, its port may refuse connections, a relay or a host that takes over
+//! its address may accept and close them, or nothing may answer. The replica's
+//! own heartbeats show more:
 //!
-//! | seen | means |
+//! | observation | meaning |
 //! |---|---|
-//! | a new connection is refused | it has ended |
-//! | another life of it speaks, or another replica at its address | it has ended |
-//! | no heartbeat of it reaches any node, others' do | it has ended |
-//! | it said that it leaves | nothing: it ends with what it has |
-//! | it answers, or a heartbeat said later arrives | it lives |
+//! | a new connection is refused | crashed |
+//! | a later incarnation or another replica there is heard | crashed |
+//! | heartbeats of other replicas arrive at nodes, but none of it | crashed |
+//! | it announced its departure | no crash: its requests end with it |
+//! | it answers a request, or a later heartbeat of it arrives | alive |
 //!
-//! So a case is opened when a connection breaks or a replica has been silent
-//! to a request for long, and watched until one of these is seen. Meanwhile the
-//! end is suspected, where connections broke under requests that had been there
-//! for a while.
+//! An investigation begins when a connection breaks, or when an attempt is
+//! given up that the replica has long not answered. It lasts until one of
+//! these observations is made. Meanwhile the crash counts as suspected for
+//! attempts whose connection broke after they had probably reached the
+//! replica.
 //!
-//! An end has one moment: the first connection to break, unless the replica was
-//! heard after that. A request that was sent later was not there, whatever
-//! became of its connection.
+//! A crash has one time: when the first connection to the replica broke,
+//! unless the replica sent something after that. A request sent later was not
+//! in flight at the crash, whatever happened to its connection.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard},
@@ -38,60 +39,66 @@
     mesh::{lives::Fate, table::replica_hash},
 };
 
-/// Before a new connection is tried, so that a process that ends has closed
-/// all that it had open, and all requests there have noticed.
-const PAUSE: Duration = Duration::from_millis(20);
-/// Between two looks at what is known of the replica.
-const LOOK: Duration = Duration::from_millis(200);
-/// A replica that has said nothing for so long after a connection to it broke
-/// has ended, in ms: two heartbeats, one of which may be late or lost on its
-/// way between nodes.
-const UNHEARD_MS: u64 = 2600;
-/// Nodes hear of a heartbeat through others, whose word seems so much younger
-/// at most, in ms: one that was said before a replica ended does not show that
-/// it lives.
-const WORD_LAG_MS: u64 = 150;
-/// A connection may be seen to break so much later than others to the same
-/// replica, in ms, by a node that has much to do.
-const NOTICE_LAG_MS: u64 = 50;
-/// A request that was there for so long when its connection broke had probably
-/// reached the replica, in ms: a relay that has lost it closes at once.
-const LEAST_STAY_MS: u64 = 20;
-/// A replica that was last heard so long before a request was sent may have
-/// been away by then, in ms: a heartbeat, and what it may be late.
-const HEARTBEAT_MS: u64 = 1500;
-/// Requests remembered of one case: what runs at one replica for one node.
-const MOST: usize = 64;
+/// Delay before a new connection is tried. By then a process that is stopping
+/// has closed all its connections, and all attempts there have noticed.
+const RECONNECT_DELAY: Duration = Duration::from_millis(20);
+/// Interval between two checks of what is known about the replica.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Time without heartbeats since a broken connection or an unanswered attempt
+/// after which a replica counts as crashed, in ms: two heartbeat intervals, as
+/// one heartbeat may be late or lost between nodes.
+const HEARTBEAT_TIMEOUT_MS: u64 = 2600;
+/// Largest amount by which a heartbeat received through other nodes seems
+/// younger than it is, in ms. A heartbeat sent before the crash must not show
+/// that the replica is alive.
+const MAX_HEARTBEAT_AGE_ERROR_MS: u64 = 150;
+/// Longest time by which a busy node notices a broken connection later than
+/// the first broken connection to the same replica, in ms.
+const MAX_DISCONNECT_DELAY_MS: u64 = 50;
+/// Time after which an attempt whose connection broke had probably reached the
+/// replica, in ms. A relay that has lost its replica closes at once.
+const MIN_DELIVERED_ATTEMPT_MS: u64 = 20;
+/// Time after a replica's last heartbeat, in ms, from which on a request that
+/// is sent does not count as in flight at the crash, as the replica may
+/// already have been away: one heartbeat interval and the delay of a
+/// heartbeat.
+const MAX_HEARTBEAT_GAP_MS: u64 = 1500;
+/// Attempts kept in one investigation: about as many as one node has in flight
+/// at one replica.
+const MAX_ATTEMPTS_PER_INVESTIGATION: usize = 64;
 
-/// Requests that broke off or were left, by replica, until it is known why.
+/// Attempts that broke off or were given up, by replica, until it is known
+/// whether the replica crashed.
 #[derive(Debug, Default)]
 pub(super) struct Endings {
-    open: Mutex<Vec<Case>>,
+    investigations: Mutex<Vec<Investigation>>,
 }
 
 #[derive(Debug)]
-struct Case {
+struct Investigation {
     replica: String,
-    stays: Vec<Stay>,
+    attempts: Vec<Stay>,
 }
 
-/// A request at a replica, as seen from this node.
+/// An attempt that broke off or was given up, as seen by this node.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Stay {
-    /// What it asked for.
+    /// Fingerprint of the request.
     pub fingerprint: u64,
-    /// When it was sent.
+    /// Time at which the request was sent.
     pub began_at: u64,
-    /// When something last came of it, or it was sent.
+    /// Time at which the replica last sent something for this attempt, or at
+    /// which the request was sent.
     pub heard_at: u64,
-    /// When its connection broke or it was left.
+    /// Time at which the connection broke or the attempt was given up.
     pub ended_at: u64,
-    /// How it came to an end.
+    /// What started the investigation.
     pub sign: Sign,
 }
 
 impl Stay {
-    /// The crash that it is held responsible for if the replica has ended.
+    /// Returns the crash recorded against the request if the replica has
+    /// crashed.
     fn crash(&self, replica: &str, at: u64) -> Crash {
         Crash {
             fingerprint: self.fingerprint,
@@ -100,158 +107,175 @@
         }
     }
 
-    /// When something last came of it, if anything did.
-    fn heard(&self) -> Option<u64> {
+    /// Returns when the replica last sent something for this attempt, if it
+    /// ever did.
+    fn last_received(&self) -> Option<u64> {
         (self.heard_at > self.began_at).then_some(self.heard_at)
     }
 
-    /// Whether it had probably reached the replica.
-    fn arrived(&self) -> bool {
-        self.heard().is_some()
-            || self.ended_at >= self.began_at + LEAST_STAY_MS
+    /// Whether the request had probably reached the replica.
+    fn has_arrived(&self) -> bool {
+        self.last_received().is_some()
+            || self.ended_at >= self.began_at + MIN_DELIVERED_ATTEMPT_MS
     }
 }
 
-/// What opens a case.
+/// What starts an investigation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Sign {
-    /// The replica closed a connection before its answer was whole.
+    /// The replica closed the connection before the response was complete.
     Broken,
-    /// It said nothing on one for long.
+    /// The replica sent nothing on the connection for long.
     Silent,
 }
 
-/// What became of the replica.
+/// Result of an investigation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Verdict {
-    Ended(&'static str),
-    /// It lives, has left as it said, or nobody can tell.
-    Nothing,
+enum Finding {
+    /// The replica crashed; holds the evidence.
+    Crashed(&'static str),
+    /// The replica is alive, has left as announced, or its state is unknown.
+    NotCrashed,
 }
 
 impl Endings {
-    fn open(&self) -> MutexGuard<'_, Vec<Case>> {
-        self.open.lock().unwrap_or_else(|held| held.into_inner())
+    fn lock(&self) -> MutexGuard<'_, Vec<Investigation>> {
+        self.investigations.lock().unwrap_or_else(|held| held.into_inner())
     }
 
-    /// Notes a request; true for the first one at a replica.
-    fn add(&self, replica: &str, stay: Stay) -> bool {
-        let mut open = self.open();
-        let known = open.iter_mut().find(|one| one.replica == replica);
-        if let Some(case) = known {
-            if case.stays.len() < MOST {
-                case.stays.push(stay);
+    /// Adds an attempt; returns true for the first one at a replica.
+    fn add(&self, replica: &str, attempt: Stay) -> bool {
+        let mut open = self.lock();
+        let known = open.iter_mut().find(|known| known.replica == replica);
+        if let Some(investigation) = known {
+            if investigation.attempts.len() < MAX_ATTEMPTS_PER_INVESTIGATION {
+                investigation.attempts.push(attempt);
             }
             return false;
         }
-        open.push(Case { replica: replica.to_owned(), stays: vec![stay] });
+        open.push(Investigation {
+            replica: replica.to_owned(),
+            attempts: vec![attempt],
+        });
         true
     }
 
     fn take(&self, replica: &str) -> Vec<Stay> {
-        let mut open = self.open();
-        let at = open.iter().position(|one| one.replica == replica);
-        at.map(|at| open.swap_remove(at).stays).unwrap_or_default()
+        let mut open = self.lock();
+        let at = open.iter().position(|known| known.replica == replica);
+        at.map(|at| open.swap_remove(at).attempts).unwrap_or_default()
     }
 
-    /// When a replica ended, if it has: when the first connection broke after
-    /// which nothing came from it.
-    fn moment(&self, replica: &str) -> Option<u64> {
-        let open = self.open();
-        let case = open.iter().find(|one| one.replica == replica)?;
-        moment_of(&case.stays)
+    /// Returns when a replica crashed, if it has: when the first connection
+    /// broke after which the replica sent nothing.
+    fn crashed_at(&self, replica: &str) -> Option<u64> {
+        let open = self.lock();
+        let known = open.iter().find(|known| known.replica == replica)?;
+        crash_time(&known.attempts)
     }
 }
 
-/// The same for the requests of one case.
-fn moment_of(stays: &[Stay]) -> Option<u64> {
-    let heard = stays.iter().filter_map(Stay::heard);
-    let heard_at = heard.max().unwrap_or(0);
-    let broken = stays.iter().filter(|one| one.sign == Sign::Broken);
-    let broken = broken.map(|one| one.ended_at);
-    broken.filter(|at| *at >= heard_at).min()
+/// Returns the time of the crash, from the attempts of one investigation.
+fn crash_time(attempts: &[Stay]) -> Option<u64> {
+    let received = attempts.iter().filter_map(Stay::last_received);
+    let received_at = received.max().unwrap_or(0);
+    let broken =
+        attempts.iter().filter(|attempt| attempt.sign == Sign::Broken);
+    let broken = broken.map(|attempt| attempt.ended_at);
+    broken.filter(|at| *at >= received_at).min()
 }
 
-/// The requests that were at a replica when it ended; `last` is when it was last
-/// heard.
-fn crashes(replica: &str, stays: &[Stay], last: Option<u64>) -> Vec<Crash> {
-    let moment = moment_of(stays);
-    let was_there = |one: &&Stay| {
-        moment.is_none_or(|at| one.began_at <= at + NOTICE_LAG_MS)
-            && last.is_none_or(|at| one.began_at <= at + HEARTBEAT_MS)
+/// Returns the crashes recorded against the attempts that were in flight when
+/// the replica crashed; `last_heard` is the time of its last heartbeat.
+fn crashes(
+    replica: &str,
+    attempts: &[Stay],
+    last_heard: Option<u64>,
+) -> Vec<Crash> {
+    let crashed_at = crash_time(attempts);
+    let was_in_flight = |attempt: &&Stay| {
+        crashed_at
+            .is_none_or(|at| attempt.began_at <= at + MAX_DISCONNECT_DELAY_MS)
+            && last_heard
+                .is_none_or(|at| attempt.began_at <= at + MAX_HEARTBEAT_GAP_MS)
     };
-    let dated = |one: &Stay| match one.sign {
-        Sign::Broken => one.crash(replica, one.ended_at),
-        // All that is known is that it ended after it was last heard.
+    let to_crash = |attempt: &Stay| match attempt.sign {
+        Sign::Broken => attempt.crash(replica, attempt.ended_at),
+        // It is only known that the replica crashed after it was last heard.
         Sign::Silent => {
-            let heard_at = last.unwrap_or(0).max(one.heard_at);
-            one.crash(replica, heard_at.min(one.ended_at))
+            let heard_at = last_heard.unwrap_or(0).max(attempt.heard_at);
+            attempt.crash(replica, heard_at.min(attempt.ended_at))
         }
     };
-    stays.iter().filter(was_there).map(dated).collect()
+    attempts.iter().filter(was_in_flight).map(to_crash).collect()
 }
 
-/// From when on word of a replica shows that it lived at a moment.
+/// Returns the time that a heartbeat must be newer than to show that its
+/// replica was alive at `at`.
 pub(super) fn heard_after(at: i64) -> u64 {
-    at.max(0) as u64 + WORD_LAG_MS
+    at.max(0) as u64 + MAX_HEARTBEAT_AGE_ERROR_MS
 }
 
 impl Gateway {
-    /// A request broke off at a replica, or was left there unanswered: finds
-    /// out whether the replica has ended.
+    /// Finds out whether a replica has crashed, after an attempt there broke
+    /// off or was given up unanswered.
     pub(super) fn examine(
         self: &Arc<Gateway>,
         service: &str,
         target: &Target,
-        stay: Stay,
+        attempt: Stay,
     ) {
-        let is_first = self.endings.add(&target.replica, stay);
+        let is_first = self.endings.add(&target.replica, attempt);
         let gateway = self.clone();
         let (service, target) = (service.to_owned(), target.clone());
         tokio::spawn(async move {
-            if stay.sign == Sign::Broken && stay.arrived() {
-                sleep(PAUSE).await;
-                gateway.suspect_end(&target, stay);
+            if attempt.sign == Sign::Broken && attempt.has_arrived() {
+                sleep(RECONNECT_DELAY).await;
+                gateway.suspect_crash(&target, attempt);
             }
             if is_first {
-                gateway.follow(&service, &target, stay).await;
+                gateway.conclude(&service, &target, attempt).await;
             }
         });
     }
 
-    /// Holds an end that is not certain against a request that was there.
-    fn suspect_end(&self, target: &Target, stay: Stay) {
-        let moment = self.endings.moment(&target.replica);
-        let is_late =
-            moment.is_none_or(|at| stay.began_at > at + NOTICE_LAG_MS);
-        let since = heard_after(stay.ended_at as i64);
-        let lives =
+    /// Records a suspected crash against a request that was in flight, unless
+    /// the replica is known to be alive or leaving.
+    fn suspect_crash(&self, target: &Target, attempt: Stay) {
+        let crashed_at = self.endings.crashed_at(&target.replica);
+        let is_late = crashed_at
+            .is_none_or(|at| attempt.began_at > at + MAX_DISCONNECT_DELAY_MS);
+        let since = heard_after(attempt.ended_at as i64);
+        let is_alive =
             matches!(self.fate(target, since), Fate::Lives | Fate::Leaves);
-        if !is_late && !lives {
-            self.suspect(stay.crash(&target.replica, stay.ended_at));
+        if !is_late && !is_alive {
+            self.record_suspected_crash(
+                attempt.crash(&target.replica, attempt.ended_at),
+            );
         }
     }
 
-    /// Watches a replica until it is known what became of it.
-    async fn follow(&self, service: &str, target: &Target, first: Stay) {
+    /// Watches a replica until its investigation is over, and records the
+    /// crashes.
+    async fn conclude(&self, service: &str, target: &Target, first: Stay) {
         let since = first.ended_at;
-        let verdict = self.watch(service, target, first.sign, since).await;
+        let finding = self.watch(service, target, first.sign, since).await;
         let replica = &target.replica;
-        let stays = self.endings.take(replica);
-        let Verdict::Ended(evidence) = verdict else { return };
+        let attempts = self.endings.take(replica);
+        let Finding::Crashed(evidence) = finding else { return };
         let table = self.mesh.get().map(|mesh| mesh.table());
-        let last = table.and_then(|table| table.last_heard(replica));
-        let crashes = crashes(replica, &stays, last);
-        self.note_crashes(&crashes);
+        let last_heard = table.and_then(|table| table.last_heard(replica));
+        let crashes = crashes(replica, &attempts, last_heard);
+        self.record_crashes(&crashes);
         self.metrics.ended_replicas.inc();
         info!(
             target: "gateway",
             replica,
             requests = crashes.len(),
-            too_late = stays.len() - crashes.len(),
+            too_late = attempts.len() - crashes.len(),
             evidence,
             after_ms = self.timer.now() - since,
-            "Replica ended under requests."
+            "Replica crashed with requests in flight."
         );
     }
 
@@ -261,31 +285,32 @@
         target: &Target,
         sign: Sign,
         since: u64,
-    ) -> Verdict {
+    ) -> Finding {
         let mut refused = false;
         if sign == Sign::Broken {
-            sleep(PAUSE).await;
+            sleep(RECONNECT_DELAY).await;
             let lines = &self.lines;
             refused = lines.has_ended(&target.replica, target.address).await;
         }
         loop {
             let now = self.timer.now();
-            let is_over = now >= since + UNHEARD_MS;
+            let is_over = now >= since + HEARTBEAT_TIMEOUT_MS;
             match self.fate(target, heard_after(since as i64)) {
-                // It ends with what it still has: a long request would be at
-                // the ends of all replicas that are replaced.
-                Fate::Leaves => return Verdict::Nothing,
-                Fate::Followed => return Verdict::Ended("another life"),
-                _ if refused => return Verdict::Ended("refused"),
-                Fate::Lives => return Verdict::Nothing,
-                Fate::Unknown if is_over => return Verdict::Nothing,
-                Fate::Silent if is_over => return Verdict::Ended("unheard"),
+                // The replica stops with the requests that it still has. If
+                // that counted as a crash, a long request would have one for
+                // each replica that is replaced.
+                Fate::Leaves => return Finding::NotCrashed,
+                Fate::Followed => return Finding::Crashed("another life"),
+                _ if refused => return Finding::Crashed("refused"),
+                Fate::Lives => return Finding::NotCrashed,
+                Fate::Unknown if is_over => return Finding::NotCrashed,
+                Fate::Silent if is_over => return Finding::Crashed("unheard"),
                 Fate::Unknown | Fate::Silent => {}
             }
             if self.has_answered(service, &target.replica, since) {
-                return Verdict::Nothing;
+                return Finding::NotCrashed;
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -1,8 +1,10 @@
-//! Requests that may have ended replicas: what this node sees of them, and
-//! what nodes tell each other.
+//! Requests that may have crashed replicas: this node's observations, and the
+//! reports exchanged between nodes.
 //!
-//! What is decided by it stands in [`quarantine`](crate::decide::quarantine).
-//! Word carries its age, as clocks differ and it goes from node to node.
+//! The decisions based on them are in
+//! [`quarantine`](crate::decide::quarantine). Reports carry their age instead
+//! of a time, as the nodes' clocks differ and reports are forwarded from node
+//! to node.
 
 use std::sync::MutexGuard;
 
@@ -20,17 +22,19 @@
     wire::{self, Crash},
 };
 
-/// What other nodes are told of requests that may have ended replicas.
+/// Reports to other nodes about requests that may have crashed replicas.
 pub(super) struct Suspects {
+    /// Confirmed crashes.
     pub crashes: Vec<Crash>,
-    /// Those that are not certain.
+    /// Suspected crashes.
     pub suspected: Vec<Crash>,
+    /// Successes that clear earlier crashes.
     pub successes: Vec<wire::Success>,
 }
 
-/// Crashes of one request from which on others are told at once: the next one
-/// may be the third, wherever it comes in.
-const URGENT_FROM: usize = 2;
+/// Number of crashes of one request from which on other nodes are notified at
+/// once: the next crash may be the third, whichever node the request reaches.
+const MIN_URGENT_CRASHES: usize = 2;
 
 impl Gateway {
     fn quarantine(&self) -> MutexGuard<'_, Quarantine> {
@@ -41,47 +45,48 @@
         self.timer.now() as i64
     }
 
-    /// A replica ended under requests of this node.
-    pub(super) fn note_crashes(&self, crashes: &[quarantine::Crash]) {
-        let mut most = 0;
+    /// Records that a replica crashed with requests of this node in flight.
+    pub(super) fn record_crashes(&self, crashes: &[quarantine::Crash]) {
+        let mut max_crashes = 0;
         for crash in crashes {
-            most = most.max(self.note_crash(*crash, Source::Own));
+            max_crashes =
+                max_crashes.max(self.record_crash(*crash, Source::Own));
         }
-        self.tell_soon(most);
+        self.report_if_urgent(max_crashes);
     }
 
-    /// A replica has probably ended under a request.
-    pub(super) fn suspect(&self, crash: quarantine::Crash) {
-        let crashes = self.note_suspected(crash, Source::Own);
-        self.tell_soon(crashes);
+    /// Records that a replica has probably crashed with a request in flight.
+    pub(super) fn record_suspected_crash(&self, crash: quarantine::Crash) {
+        let crashes = self.add_suspected_crash(crash, Source::Own);
+        self.report_if_urgent(crashes);
     }
 
-    /// How many crashes of its request are known or suspected now, 0 if this
-    /// is no news.
-    fn note_suspected(
+    /// Adds a suspected crash; returns how many crashes of its request are now
+    /// confirmed or suspected, or 0 if this one was known already.
+    fn add_suspected_crash(
         &self,
         crash: quarantine::Crash,
         source: Source,
     ) -> usize {
         let now = self.signed_now();
-        let noted = self.quarantine().suspect(now, crash, source);
-        let crashes = noted.unwrap_or(0);
-        if crashes >= URGENT_FROM {
+        let count = self.quarantine().suspect(now, crash, source);
+        let crashes = count.unwrap_or(0);
+        if crashes >= MIN_URGENT_CRASHES {
             let fingerprint = fingerprint::shown(crash.fingerprint);
             let age_ms = now - crash.at;
             info!(
                 target: "gateway",
                 fingerprint, crashes, age_ms, ?source,
-                "Request was at replicas that probably ended."
+                "Request was in flight at replicas that probably crashed."
             );
         }
         crashes
     }
 
-    /// Tells all others at once if a request has so many crashes that the next
-    /// one may be too many.
-    fn tell_soon(&self, crashes: usize) {
-        if crashes >= URGENT_FROM {
+    /// Sends reports to the other nodes at once if a request has so many
+    /// crashes that the next one may reach the limit.
+    fn report_if_urgent(&self, crashes: usize) {
+        if crashes >= MIN_URGENT_CRASHES {
             self.has_suspects.notify_one();
             if let Some(mesh) = self.mesh.get() {
                 mesh.urge();
@@ -89,18 +94,19 @@
         }
     }
 
-    /// How many crashes of its request are known now, 0 if this is no news.
-    fn note_crash(&self, crash: quarantine::Crash, source: Source) -> usize {
+    /// Records a confirmed crash; returns how many crashes of its request are
+    /// known now, or 0 if this one was known already.
+    fn record_crash(&self, crash: quarantine::Crash, source: Source) -> usize {
         let now = self.signed_now();
-        let noted = self.quarantine().crash(now, crash, source);
-        let crashes = noted.unwrap_or(0);
-        if crashes >= URGENT_FROM {
+        let count = self.quarantine().crash(now, crash, source);
+        let crashes = count.unwrap_or(0);
+        if crashes >= MIN_URGENT_CRASHES {
             let fingerprint = fingerprint::shown(crash.fingerprint);
             let age_ms = now - crash.at;
             warn!(
                 target: "gateway",
                 fingerprint, crashes, age_ms, ?source,
-                "Request was at replicas that ended."
+                "Request was in flight at replicas that crashed."
             );
         }
         if crashes == CRASHES {
@@ -109,7 +115,7 @@
         crashes
     }
 
-    /// A request has ended well.
+    /// Records that a request succeeded.
     pub(super) fn note_success(&self, fingerprint: u64) {
         let at = self.signed_now();
         self.clear(Success { fingerprint, at }, Source::Own);
@@ -118,24 +124,24 @@
     fn clear(&self, success: Success, source: Source) {
         let now = self.signed_now();
         let cleared = self.quarantine().succeed(now, success, source);
-        // A single crash is a bystander's, nearly always.
-        if cleared.is_some_and(|crashes| crashes >= URGENT_FROM) {
+        // A request with a single crash is nearly always a bystander.
+        if cleared.is_some_and(|crashes| crashes >= MIN_URGENT_CRASHES) {
             let fingerprint = fingerprint::shown(success.fingerprint);
             info!(
                 target: "gateway",
                 fingerprint, crashes = cleared, ?source,
-                "Request is no longer suspected: it ended well."
+                "Request is no longer suspected: it succeeded."
             );
         }
     }
 
-    /// Forgets what is past its time.
+    /// Removes expired records.
     pub(super) fn expire_suspects(&self) {
         let now = self.signed_now();
         self.quarantine().expire(now);
     }
 
-    /// Why a request is kept from the replicas of a service, if it is.
+    /// Returns why a request to `service` is quarantined, if it is.
     pub(super) fn kept_away(
         &self,
         fingerprint: u64,
@@ -157,8 +163,7 @@
         quarantine.keeps(self.signed_now(), fingerprint, replicas)
     }
 
-    /// Refuses a request that ends the replicas that run it, unless it is
-    /// time to try it again here.
+    /// Refuses a quarantined request, unless this node grants it a trial now.
     pub(super) fn keep_away(
         &self,
         fingerprint: u64,
@@ -175,65 +180,66 @@
             _ => 0,
         };
         let mut quarantine = self.quarantine();
-        let tries = quarantine.try_again(now, fingerprint, reason, rank);
+        let is_trial = quarantine.try_again(now, fingerprint, reason, rank);
         drop(quarantine);
-        if tries {
+        if is_trial {
             info!(
                 target: "gateway",
                 fingerprint = fingerprint::shown(fingerprint),
                 crashes = reason.crashes,
                 age_ms = reason.age_ms,
                 rank,
-                "Request is tried again."
+                "Trial of a quarantined request."
             );
             return Ok(());
         }
-        let text = "replicas ended under it";
+        let text = "replicas crashed while they ran this request";
         let cause = Cause::Crashes { fingerprint, reason };
         let cause = Some(Box::new(cause));
         let wait_ms = reason.retry_after_ms();
         Err(Refusal { cause, ..Refusal::later(text, wait_ms) })
     }
 
-    /// What is told to other nodes in the next datagrams.
+    /// Returns the reports for the next datagrams to other nodes.
     pub(super) fn suspects(&self) -> Suspects {
         let now = self.signed_now();
-        let word = self.quarantine().tell(now);
-        self.worded(word)
+        let report = self.quarantine().tell(now);
+        self.to_wire(report)
     }
 
-    /// What a node that starts has to know of requests, and what is kept on
-    /// disks.
+    /// Returns the crashes of requests with several crashes, for a node that
+    /// starts and for the disk.
     pub fn several_crashes(&self) -> Vec<Crash> {
-        let word = self.quarantine().several();
-        self.worded(word).crashes
+        let report = self.quarantine().several();
+        self.to_wire(report).crashes
     }
 
-    fn worded(&self, word: Word) -> Suspects {
+    fn to_wire(&self, report: Word) -> Suspects {
         let now = self.signed_now();
-        let age = |at: i64| (now - at).clamp(0, u32::MAX.into()) as u32;
-        let aged = |crashes: Vec<quarantine::Crash>| {
-            let aged = crashes.iter().map(|one| Crash {
-                fingerprint: one.fingerprint,
-                replica: one.replica,
-                age_ms: age(one.at),
+        let age_ms = |at: i64| (now - at).clamp(0, u32::MAX.into()) as u32;
+        let with_ages = |crashes: Vec<quarantine::Crash>| {
+            let crashes = crashes.iter().map(|crash| Crash {
+                fingerprint: crash.fingerprint,
+                replica: crash.replica,
+                age_ms: age_ms(crash.at),
             });
-            aged.collect()
+            crashes.collect()
         };
-        let successes = word.successes.iter().map(|one| wire::Success {
-            fingerprint: one.fingerprint,
-            age_ms: age(one.at),
+        let successes = report.successes.iter().map(|success| wire::Success {
+            fingerprint: success.fingerprint,
+            age_ms: age_ms(success.at),
         });
         Suspects {
-            crashes: aged(word.crashes),
-            suspected: aged(word.suspected),
+            crashes: with_ages(report.crashes),
+            suspected: with_ages(report.suspected),
             successes: successes.collect(),
         }
     }
 
-    /// Takes what another node tells of requests, or a disk.
+    /// Receives reports from another node or from the disk.
     ///
-    /// `passes_on` is set where it has told nobody else.
+    /// `passes_on` is set if the sender reports to no other node; this node
+    /// then forwards the reports.
     pub fn hear_suspects(
         &self,
         crashes: &[Crash],
@@ -245,37 +251,38 @@
             true => Source::Own,
             false => Source::Other,
         };
-        // Successes first: they may be what a crash has to be compared to.
-        for one in successes {
-            let at = now - i64::from(one.age_ms);
-            let fingerprint = one.fingerprint;
+        // Successes come first, as they may clear crashes among these.
+        for success in successes {
+            let at = now - i64::from(success.age_ms);
+            let fingerprint = success.fingerprint;
             self.clear(Success { fingerprint, at }, source);
         }
-        let mut most = 0;
-        for one in crashes {
-            let crash = dated(now, one);
-            most = most.max(self.note_crash(crash, source));
+        let mut max_crashes = 0;
+        for crash in crashes {
+            let crash = from_wire(now, crash);
+            max_crashes = max_crashes.max(self.record_crash(crash, source));
         }
-        if most >= URGENT_FROM {
+        if max_crashes >= MIN_URGENT_CRASHES {
             self.has_suspects.notify_one();
         }
     }
 
-    /// The same of crashes that are not certain.
+    /// Receives reports of suspected crashes; `passes_on` is as for
+    /// [`Gateway::hear_suspects`].
     pub fn hear_suspected(&self, crashes: &[Crash], passes_on: bool) {
         let now = self.signed_now();
         let source = match passes_on {
             true => Source::Own,
             false => Source::Other,
         };
-        for one in crashes {
-            self.note_suspected(dated(now, one), source);
+        for crash in crashes {
+            self.add_suspected_crash(from_wire(now, crash), source);
         }
     }
 }
 
-/// A crash by this node's clock.
-fn dated(now: i64, crash: &Crash) -> quarantine::Crash {
+/// Converts a reported crash, with its time by this node's clock.
+fn from_wire(now: i64, crash: &Crash) -> quarantine::Crash {
     quarantine::Crash {
         fingerprint: crash.fingerprint,
         replica: crash.replica,
