--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -1,9 +1,10 @@
-//! What replicas say of the rate of requests that they take, and what nodes
-//! tell each other of it.
+//! The rate limits that replicas announce, and the reports of them that nodes
+//! exchange.
 //!
-//! What is decided by it stands in
-//! [`rate_limit`](crate::decide::rate_limit). Word carries its age, as clocks
-//! differ and it goes from node to node.
+//! The decisions based on them are in
+//! [`rate_limit`](crate::decide::rate_limit). Reports carry their age instead
+//! of a time, as the nodes' clocks differ and reports are forwarded from node
+//! to node.
 
 use std::sync::MutexGuard;
 
@@ -23,11 +24,11 @@
 
 common! {
     copy
-    /// Who says what a replica takes.
+    /// Where a statement about a rate limit comes from.
     enum Source {
-        /// The replica, in an answer to this node.
+        /// A response of the replica to this node.
         Answer,
-        /// Another node.
+        /// A report from another node.
         Node,
     }
 }
@@ -37,8 +38,8 @@
         self.rate_limits.lock().unwrap_or_else(|held| held.into_inner())
     }
 
-    /// Takes what an answer says of its replica's limit; the request was sent
-    /// at `sent_at`.
+    /// Records what a response says about its replica's rate limit; `sent_at`
+    /// is when the request was sent.
     pub(super) fn note_limit(
         &self,
         replica: &str,
@@ -50,18 +51,22 @@
         }
         let (rate, at) = match answered.limit {
             Limit::PerSecond(rate) => (Some(rate), self.timer.now()),
-            // A replica that turns a request away may say no more than that.
+            // A rejection may leave out the rate limit.
             Limit::None if answered.not_run => return,
             Limit::None => (None, sent_at),
             Limit::Unreadable => {
                 self.metrics.unreadable.inc();
-                warn!(target: "gateway", replica, "Unreadable limit.");
+                warn!(
+                    target: "gateway",
+                    replica,
+                    "Can't read the rate limit in a response."
+                );
                 return;
             }
         };
         let replica = table::replica_hash(replica);
         let statement = Statement { replica, rate, at: at as i64 };
-        if self.note_statement(statement, Source::Answer) {
+        if self.record_statement(statement, Source::Answer) {
             self.share_limits();
             if let Some(mesh) = self.mesh.get() {
                 mesh.urge();
@@ -69,8 +74,8 @@
         }
     }
 
-    /// Takes a statement; true when it changes what was known.
-    fn note_statement(&self, statement: Statement, source: Source) -> bool {
+    /// Records a statement; returns true if it changes the known rate limit.
+    fn record_statement(&self, statement: Statement, source: Source) -> bool {
         let now = self.timer.now() as i64;
         let mut limits = self.rate_limits();
         let Some(change) = limits.note(now, statement) else { return false };
@@ -87,19 +92,19 @@
             before = change.before,
             age_ms = now - statement.at,
             ?source,
-            "Replica takes another rate of requests."
+            "Rate limit of a replica changed."
         );
         true
     }
 
-    /// Gives the router this node's shares of all limits, as it knows them.
+    /// Updates the router with this node's shares of all known rate limits.
     fn share_limits(&self) {
         let Some(mesh) = self.mesh.get() else { return };
         let mut fleet = self.fleet();
         self.share_limits_by(&mesh.table(), &mut fleet);
     }
 
-    /// The same where the mesh and the fleet are at hand.
+    /// Does the same with a mesh table and a fleet that are already locked.
     pub(super) fn share_limits_by(&self, table: &Table, fleet: &mut Fleet) {
         let now = self.timer.now();
         let mut limits = self.rate_limits();
@@ -107,8 +112,8 @@
         let parts: Vec<Part> = limits
             .limited()
             .map(|(replica, limit)| {
-                let place = table.place(now, replica);
-                let share = place
+                let position = table.place(now, replica);
+                let share = position
                     .map_or(0.0, |(rank, nodes)| share(limit, rank, nodes));
                 Part { replica, limit, share }
             })
@@ -117,7 +122,8 @@
         fleet.set_limits(now, &parts);
     }
 
-    /// The rate that a replica takes, for the log; 0 for any.
+    /// Returns the rate limit that a replica announced, in requests a second;
+    /// 0 without a limit. For the log.
     pub(super) fn named_rate(&self, replica: &str) -> f32 {
         let limits = self.rate_limits();
         match limits.is_empty() {
@@ -126,40 +132,43 @@
         }
     }
 
-    /// What is told to other nodes in the next datagrams.
+    /// Returns the statements for the next datagrams to other nodes.
     pub(super) fn tell_limits(&self) -> Vec<RateLimit> {
         let now = self.timer.now() as i64;
-        let told = self.rate_limits().tell(now);
-        told.into_iter().map(|one| worded(now, one)).collect()
+        let statements = self.rate_limits().tell(now);
+        statements
+            .into_iter()
+            .map(|statement| to_wire(now, statement))
+            .collect()
     }
 
-    /// What a node that starts has to know of limits.
+    /// Returns all statements, for a node that starts.
     pub fn limits(&self) -> Vec<RateLimit> {
         let now = self.timer.now() as i64;
         let limits = self.rate_limits();
-        limits.statements().map(|one| worded(now, one)).collect()
+        limits.statements().map(|statement| to_wire(now, statement)).collect()
     }
 
-    /// Takes what another node tells of limits.
+    /// Receives statements about rate limits from another node.
     pub fn hear_limits(&self, limits: &[RateLimit]) {
         let now = self.timer.now() as i64;
-        let mut is_news = false;
-        for one in limits {
-            let rate = one.per_s.filter(|rate| rate.is_finite());
+        let mut has_changed = false;
+        for limit in limits {
+            let rate = limit.per_s.filter(|rate| rate.is_finite());
             let statement = Statement {
-                replica: one.replica,
+                replica: limit.replica,
                 rate: rate.map(|rate| rate.max(0.0)),
-                at: now - i64::from(one.age_ms),
+                at: now - i64::from(limit.age_ms),
             };
-            is_news |= self.note_statement(statement, Source::Node);
+            has_changed |= self.record_statement(statement, Source::Node);
         }
-        if is_news {
+        if has_changed {
             self.share_limits();
         }
     }
 }
 
-fn worded(now: i64, one: Statement) -> RateLimit {
-    let age_ms = (now - one.at).clamp(0, u32::MAX.into()) as u32;
-    RateLimit { replica: one.replica, per_s: one.rate, age_ms }
+fn to_wire(now: i64, statement: Statement) -> RateLimit {
+    let age_ms = (now - statement.at).clamp(0, u32::MAX.into()) as u32;
+    RateLimit { replica: statement.replica, per_s: statement.rate, age_ms }
 }
