--- a/src/gateway/quotas.rs
+++ b/src/gateway/quotas.rs
@@ -1,9 +1,9 @@
-//! What teams may still use, as far as this node knows.
+//! The quotas of teams, as far as this node knows their use.
 //!
-//! What is decided by it stands in [`quota`](crate::decide::quota). Buckets
-//! are opened with the plan, not with a team's first request, so that a node
-//! knows what the others have used when that comes, and can tell a node that
-//! starts.
+//! The decisions based on them are in [`quota`](crate::decide::quota). A
+//! bucket is created when the plan names its team, not with the team's first
+//! request. So the node already knows the use at other nodes when that request
+//! arrives, and can report it to a node that starts.
 
 use std::sync::{MutexGuard, atomic::Ordering};
 
@@ -21,40 +21,42 @@
     wire::{self, Spent},
 };
 
-/// A node that has not looked at the mesh for so long stood still, in ms: it
-/// does so each 300 ms, whether it hears anything or not.
-const STILL_MS: u64 = 1000;
-/// A node that was started longer ago, in ms, knows what others use: teams
-/// whose bucket it opens from then on are new.
-const JOINING_MS: u64 = 5000;
+/// Time without a refresh from the mesh after which this node counts as having
+/// stalled, in ms. Refreshes come every 300 ms, with or without messages.
+const STALL_THRESHOLD_MS: u64 = 1000;
+/// Time after its start for which a node may not know what other nodes use, in
+/// ms. A bucket that is created later belongs to a new team.
+const JOIN_PERIOD_MS: u64 = 5000;
 
-/// One team's bucket.
+/// Bucket of one team.
 #[derive(Debug)]
 struct Bucket {
     team: String,
-    /// What stands for the team between nodes.
+    /// Hash of the name, which names the team in messages between nodes.
     hash: u64,
     meter: Meter,
 }
 
-/// All buckets of a node.
+/// Buckets of all teams at this node.
 #[derive(Debug, Default)]
 pub(super) struct Quotas {
     /// Sorted by team.
     buckets: Vec<Bucket>,
-    /// What another node told before the plan was known here.
-    told: Vec<wire::Level>,
+    /// Levels last received from another node or the disk, for buckets that
+    /// are created later.
+    received: Vec<wire::Level>,
 }
 
 impl Quotas {
     fn find(&mut self, team: &str) -> Option<&mut Meter> {
-        let at = position(&self.buckets, team, |one| one.team.as_str());
+        let at = position(&self.buckets, team, |bucket| bucket.team.as_str());
         at.ok().map(|at| &mut self.buckets[at].meter)
     }
 
-    /// A team's bucket, opened now if it was not.
+    /// Returns the meter of a team's bucket, which is created if it is
+    /// missing.
     ///
-    /// `joins` is set where others may have used some of it.
+    /// `joins` is set if other nodes may have used some of the quota already.
     fn open(
         &mut self,
         now: u64,
@@ -62,16 +64,18 @@
         allowance: Allowance,
         joins: bool,
     ) -> &mut Meter {
-        let found = position(&self.buckets, team, |one| one.team.as_str());
+        let found =
+            position(&self.buckets, team, |bucket| bucket.team.as_str());
         let at = found.unwrap_or_else(|at| {
             let hash = name_hash(team);
             let mut meter = match joins {
                 true => Meter::join(now, allowance),
                 false => Meter::open(now, allowance),
             };
-            let told = self.told.iter().find(|one| one.team == hash);
-            if let Some(told) = told {
-                meter.learn(now, level(told));
+            let received =
+                self.received.iter().find(|level| level.team == hash);
+            if let Some(received) = received {
+                meter.learn(now, from_wire(received));
             }
             let team = team.to_owned();
             self.buckets.insert(at, Bucket { team, hash, meter });
@@ -80,16 +84,23 @@
         &mut self.buckets[at].meter
     }
 
-    fn note(&mut self, now: u64, spent: &Spent, entry: u64, heard: bool) {
+    fn record_usage(
+        &mut self,
+        now: u64,
+        spent: &Spent,
+        entry: u64,
+        heard: bool,
+    ) {
         let mut buckets = self.buckets.iter_mut();
-        if let Some(one) = buckets.find(|one| one.hash == spent.team) {
-            one.meter.note(now, entry, spent.tokens, heard);
+        if let Some(bucket) = buckets.find(|bucket| bucket.hash == spent.team)
+        {
+            bucket.meter.note(now, entry, spent.tokens, heard);
         }
     }
 }
 
-fn level(told: &wire::Level) -> Level {
-    Level { units: told.units, used: told.used, is_paced: told.paced }
+fn from_wire(level: &wire::Level) -> Level {
+    Level { units: level.units, used: level.used, is_paced: level.paced }
 }
 
 impl Gateway {
@@ -97,17 +108,18 @@
         self.quotas.lock().unwrap_or_else(|held| held.into_inner())
     }
 
-    /// Takes what others have used, and opens buckets for new teams.
+    /// Subtracts what other nodes have used, and creates buckets for new
+    /// teams.
     pub(super) fn refresh_quotas(
         &self,
         now: u64,
         table: &Table,
         plan: Option<&Plan>,
     ) {
-        self.notice_standstill(now);
+        self.detect_stall(now);
         let mut quotas = self.quotas();
         let reach = table.reach(now);
-        let joins = self.joins(now);
+        let joins = self.is_joining(now);
         for team in plan.map_or(&[][..], Plan::teams) {
             if let Some(quota) = team.quota {
                 let allowance = self.allowance(quota, reach);
@@ -115,55 +127,58 @@
             }
         }
         for (entry, spent, heard) in table.spent(now) {
-            for one in spent {
-                quotas.note(now, one, entry, heard);
+            for total in spent {
+                quotas.record_usage(now, total, entry, heard);
             }
         }
     }
 
-    /// Tells the quotas if this node has stood still until now.
+    /// Informs the quotas if this node has stalled until now.
     ///
-    /// Looked at before each request as well: the first one after a standstill
-    /// may come before the mesh is looked at.
-    fn notice_standstill(&self, now: u64) {
+    /// Also called before each request: the first request after a stall may
+    /// come before the next refresh.
+    fn detect_stall(&self, now: u64) {
         let before = self.refreshed_at.swap(now, Ordering::Relaxed);
-        let stood_ms = now.saturating_sub(before);
-        if stood_ms >= STILL_MS {
-            for one in &mut self.quotas().buckets {
-                one.meter.stood_still(now, stood_ms);
+        let stalled_ms = now.saturating_sub(before);
+        if stalled_ms >= STALL_THRESHOLD_MS {
+            for bucket in &mut self.quotas().buckets {
+                bucket.meter.stood_still(now, stalled_ms);
             }
         }
     }
 
-    /// Takes what others have used until now for old, as this node was not
-    /// told of it.
+    /// Treats what other nodes have used until now as old use, because this
+    /// node received no reports of it while it was a standby.
     pub fn settle_quotas(&self) {
         let now = self.timer.now();
-        for one in &mut self.quotas().buckets {
-            one.meter.settle(now);
+        for bucket in &mut self.quotas().buckets {
+            bucket.meter.settle(now);
         }
     }
 
-    /// Others may serve already: what they have used is not known yet.
+    /// Marks this node as joining: other nodes may serve already, and what
+    /// they have used is not known yet.
     pub fn join_quotas(&self) {
         self.joins.store(true, Ordering::Relaxed);
     }
 
-    fn joins(&self, now: u64) -> bool {
-        self.joins.load(Ordering::Relaxed) && now < JOINING_MS
+    fn is_joining(&self, now: u64) -> bool {
+        self.joins.load(Ordering::Relaxed) && now < JOIN_PERIOD_MS
     }
 
-    /// What this node has admitted since its start, by team.
+    /// Returns the tokens that this node has admitted since its start, by
+    /// team.
     pub(super) fn spent(&self) -> Vec<Spent> {
         let quotas = self.quotas();
-        let spent = quotas
-            .buckets
-            .iter()
-            .map(|one| Spent { team: one.hash, tokens: one.meter.own() });
-        spent.filter(|one| one.tokens > 0).collect()
+        let spent = quotas.buckets.iter().map(|bucket| Spent {
+            team: bucket.hash,
+            tokens: bucket.meter.own(),
+        });
+        spent.filter(|total| total.tokens > 0).collect()
     }
 
-    /// What this node knows of the buckets, for one that starts and for disks.
+    /// Returns the known levels of the buckets, for a node that starts and for
+    /// the disk.
     pub fn levels(&self) -> wire::Levels {
         let now = self.timer.now();
         let reach = self.reach();
@@ -184,29 +199,32 @@
         wire::Levels { levels: levels.collect() }
     }
 
-    /// Takes what another node or a disk knows of the buckets.
+    /// Sets the levels of the buckets from another node or the disk, which
+    /// `from` names.
     pub fn learn_levels(&self, known: wire::Levels, from: &str) {
         let now = self.timer.now();
         let mut quotas = self.quotas();
-        for told in &known.levels {
+        for level in &known.levels {
             let mut buckets = quotas.buckets.iter_mut();
-            if let Some(one) = buckets.find(|one| one.hash == told.team) {
-                one.meter.learn(now, level(told));
+            if let Some(bucket) =
+                buckets.find(|bucket| bucket.hash == level.team)
+            {
+                bucket.meter.learn(now, from_wire(level));
             }
         }
         info!(
             target: "gateway",
             teams = known.levels.len(),
-            paced = known.levels.iter().filter(|one| one.paced).count(),
-            "Knows from {from} what is left of quotas."
+            paced = known.levels.iter().filter(|level| level.paced).count(),
+            "Learned quota levels from {from}."
         );
-        quotas.told = known.levels;
+        quotas.received = known.levels;
         drop(quotas);
         self.changed.send_replace(());
     }
 
-    /// True unless this node has just started and does not know yet what
-    /// others have used of a team's quota.
+    /// Whether this node knows what other nodes have used of a team's quota.
+    /// It does not if it has just started.
     pub(super) fn knows_quota(&self, team: &str) -> bool {
         let mut quotas = self.quotas();
         quotas.find(team).is_some_and(|meter| !meter.is_joining())
@@ -235,7 +253,7 @@
         }
     }
 
-    /// Admits a team's request.
+    /// Admits a team's request, or refuses it if the quota does not cover it.
     pub(super) fn admit(
         &self,
         team: &str,
@@ -244,10 +262,10 @@
         urgent: bool,
     ) -> Result<(), Refusal> {
         let now = self.timer.now();
-        self.notice_standstill(now);
+        self.detect_stall(now);
         let allowance = self.allowance(quota, self.reach());
         let mut quotas = self.quotas();
-        let meter = quotas.open(now, team, allowance, self.joins(now));
+        let meter = quotas.open(now, team, allowance, self.is_joining(now));
         meter.admit(now, allowance, cost, urgent).map_err(|shortage| {
             let cause = Cause::Quota {
                 team: team.to_owned(),
@@ -261,7 +279,7 @@
         })
     }
 
-    /// Gives back what a request would have used, as it did not run.
+    /// Refunds the cost of a request that did not run.
     pub(super) fn give_back(&self, team: &str, cost: u64) {
         if let Some(meter) = self.quotas().find(team) {
             meter.give_back(cost);
