--- a/src/gateway/overload.rs
+++ b/src/gateway/overload.rs
@@ -1,4 +1,4 @@
-//! Requests that are refused as the replicas can't take them now.
+//! Refuses requests that the replicas have no capacity for.
 
 use super::{
     fleet::Target,
@@ -6,17 +6,18 @@
     refusal::{Cause, Refusal},
 };
 
-/// Times a route's target that a first token may be foretold to take, for the
-/// three highest ranks. Late answers are worth a tenth, so waiting for twice
-/// the target pays only where nobody else is kept waiting.
-const LATE_TARGETS: [f32; 3] = [2.5, 2.0, 1.5];
+/// Longest predicted time to the first token that is admitted, as a multiple
+/// of the route's latency target, for priorities 0, 1 and all others. A late
+/// response is worth a tenth, so waiting for twice the target pays only if it
+/// delays no other request.
+const MAX_LATENCY_FACTORS: [f32; 3] = [2.5, 2.0, 1.5];
 
 impl Work {
-    /// Refuses a request while all replicas have had the rate they take.
+    /// Refuses a request while the rate limits of all replicas are used up.
     pub fn limited(&self) -> Option<Refusal> {
         let now = self.now();
         let queue = self.gateway.fleet().queue(now, &self.service)?;
-        let text = "the replicas take no more for now";
+        let text = "the rate limits of all replicas are used up";
         let refusal = Refusal::later(text, queue.wait_ms);
         let cause = Some(Box::new(Cause::Limit(queue)));
         Some(Refusal { cause, ..refusal })
@@ -24,32 +25,32 @@
 
     /// Refuses a stream that would begin far too late at the best replica.
     ///
-    /// When more comes than can be read, those that wait all wait longer
-    /// still, until every answer is late and clients leave with their
-    /// prompts half read. Refusing at once what would be late keeps the
-    /// others on time; the more urgent a request, the longer it may wait,
-    /// as replicas let it overtake.
+    /// If prompts arrive faster than the replicas can read them, the queues
+    /// grow until every response is late and callers leave while their prompts
+    /// are being read. Refusing the requests that would be late keeps the rest
+    /// on time. More urgent requests may be predicted to wait longer, as
+    /// replicas let them overtake.
     pub fn overload(&self, target: &Target, tried: u32) -> Option<Refusal> {
         if tried > 0 || !self.route.repeat.is_stream() {
             return None;
         }
         let target_ms = self.route.target_ms as f32;
-        let patience = match self.priority() {
-            0 => LATE_TARGETS[0],
-            1 => LATE_TARGETS[1],
-            _ => LATE_TARGETS[2],
+        let factor = match self.priority() {
+            0 => MAX_LATENCY_FACTORS[0],
+            1 => MAX_LATENCY_FACTORS[1],
+            _ => MAX_LATENCY_FACTORS[2],
         };
-        let limit_ms = target_ms * patience;
+        let limit_ms = target_ms * factor;
         (target.predicted_ms > limit_ms).then(|| {
-            let wait = (target.predicted_ms - target_ms / 2.0) as u64;
-            let text = "the replicas have too much to read";
+            let wait_ms = (target.predicted_ms - target_ms / 2.0) as u64;
+            let text = "the predicted wait at the replicas is too long";
             let cause = Cause::Load {
                 replica: target.replica.clone(),
                 foretold_ms: target.predicted_ms as u64,
                 limit_ms: limit_ms as u64,
             };
             let cause = Some(Box::new(cause));
-            Refusal { cause, ..Refusal::later(text, wait) }
+            Refusal { cause, ..Refusal::later(text, wait_ms) }
         })
     }
 }
