--- a/src/gateway/refusal.rs
+++ b/src/gateway/refusal.rs
@@ -1,7 +1,7 @@
-//! Answers of the gateway's own: refusals and failures.
+//! Responses that the gateway makes itself: refusals and failures.
 //!
-//! Each goes out at the moment of the decision. One that says that the
-//! request did not run also says when it is worth coming back.
+//! Each is sent as soon as it is decided. A refusal that asks the caller to
+//! retry also says when.
 
 use http::{HeaderValue, Response, StatusCode, header};
 use tokio::time::Instant;
@@ -19,70 +19,72 @@
     verdict::Verdict,
 };
 
-/// The shortest wait that a client is told, in ms; less would be at once.
-const LEAST_WAIT_MS: u64 = 50;
+/// Shortest wait announced to a caller, in ms. A shorter one would mean an
+/// immediate retry.
+const MIN_RETRY_AFTER_MS: u64 = 50;
 
 common! {
-    /// What a refusal was decided by, for the log.
+    /// Cause of a refusal, for the log.
     pub enum Cause {
-        /// A quota that is used up.
+        /// The team's quota is used up.
         Quota {
-            /// Whose.
+            /// Name of the team.
             team: String,
-            /// What the request counts for.
+            /// Cost of the request.
             cost: u64,
-            /// What is missing.
+            /// What the quota lacks for it.
             shortage: Shortage,
-            /// How old word of other entries is on average, in ms.
+            /// Average propagation delay of reports from other entries, in ms.
             word_ms: u64,
-            /// The part of the entries that is heard, in hundredths.
+            /// Percentage of the entries that this node receives reports from.
             heard: u64,
-            /// This node has started and does not know what others use.
+            /// Whether this node has just started and does not know what other
+            /// nodes use.
             joining: bool,
         },
-        /// Replicas that have too much to do.
+        /// The replicas are overloaded.
         Load {
-            /// The best of them.
+            /// Replica with the shortest prediction.
             replica: String,
-            /// When it would begin to answer, in ms.
+            /// Predicted time to the first token, in ms.
             foretold_ms: u64,
-            /// When it would have to, in ms.
+            /// Longest predicted time that is admitted, in ms.
             limit_ms: u64,
         },
-        /// The rates that replicas take.
+        /// The rate limits of the replicas are used up.
         Limit(Queue),
-        /// Replicas that ended while such a request was there.
+        /// The request is quarantined.
         Crashes {
-            /// What it asks for.
+            /// Fingerprint of the request.
             fingerprint: u64,
-            /// How many, and how long it is kept away for them.
+            /// Number of crashes, and how long the quarantine lasts.
             reason: Reason,
         },
     }
 }
 
 common! {
-    /// A request that is not answered by a replica.
+    /// Response to a request that no replica answered.
     pub struct Refusal {
-        /// The HTTP status.
+        /// HTTP status.
         pub status: StatusCode,
-        /// Whether it may have run.
+        /// Whether the request may have run.
         pub verdict: Verdict,
-        /// Why, for the client and the log.
+        /// Reason, for the caller and the log.
         pub text: &'static str,
-        /// When to come back, in ms.
+        /// Time after which a retry is worthwhile, in ms.
         pub retry_after_ms: Option<u64>,
-        /// The connection can't be used any more.
+        /// Whether the connection must be closed.
         pub close: bool,
-        /// What decided it, where the text does not say it all.
+        /// Details of the decision that the text leaves out.
         pub cause: Option<Box<Cause>>,
-        /// The route, once it is known.
+        /// Name of the route; empty until it is known.
         pub route: String,
     }
 }
 
 impl Refusal {
-    /// A request that is wrong whenever it comes.
+    /// Refuses an invalid request, for which a retry is pointless.
     pub fn wrong(status: StatusCode, text: &'static str) -> Refusal {
         Refusal {
             status,
@@ -95,20 +97,20 @@
         }
     }
 
-    /// A request that breaks the rules of the protocol or its limits, after
-    /// which the connection's bytes can't be trusted.
+    /// Refuses a request that violates the protocol or its limits. What
+    /// follows on the connection can't be trusted, so it is closed.
     pub fn broken(status: StatusCode, text: &'static str) -> Refusal {
         Refusal { close: true, ..Refusal::wrong(status, text) }
     }
 
-    /// A request that did not run and may come back.
+    /// Refuses a request that did not run and may be retried.
     pub fn later(text: &'static str, retry_after_ms: u64) -> Refusal {
-        let retry_after_ms = Some(retry_after_ms.max(LEAST_WAIT_MS));
+        let retry_after_ms = Some(retry_after_ms.max(MIN_RETRY_AFTER_MS));
         let status = StatusCode::SERVICE_UNAVAILABLE;
         Refusal { retry_after_ms, ..Refusal::wrong(status, text) }
     }
 
-    /// A team that has used up what it may.
+    /// Refuses a request of a team whose quota is used up.
     pub fn quota(retry_after_ms: u64, cause: Cause) -> Refusal {
         let text = "the team's quota is used up";
         let refusal = Refusal::later(text, retry_after_ms);
@@ -117,7 +119,7 @@
         Refusal { status, cause, ..refusal }
     }
 
-    /// A request that may have run without a whole answer.
+    /// Reports that a request may have run but has no complete response.
     pub fn doubtful(text: &'static str) -> Refusal {
         Refusal {
             status: StatusCode::BAD_GATEWAY,
@@ -130,11 +132,11 @@
         }
     }
 
-    /// A request whose time is up.
+    /// Reports that a request timed out.
     pub fn late(verdict: Verdict) -> Refusal {
-        let text = "no answer in time";
+        let text = "no response before the deadline";
         match verdict {
-            Verdict::NotRun => Refusal::later(text, LEAST_WAIT_MS),
+            Verdict::NotRun => Refusal::later(text, MIN_RETRY_AFTER_MS),
             _ => Refusal {
                 status: StatusCode::GATEWAY_TIMEOUT,
                 ..Refusal::doubtful(text)
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Counts the refusal of a request and logs it, with what decided it.
+    /// Counts the refusal and logs it with its cause.
     pub(super) fn note(
         &self,
         metrics: &Metrics,
@@ -208,7 +210,7 @@
         }
     }
 
-    /// The HTTP answer.
+    /// Converts the refusal to an HTTP response.
     pub fn into_response(self) -> Response<Body> {
         let text = format!("{}: {}\n", self.verdict.as_str(), self.text);
         let mut response = Response::new(full(text));
@@ -230,7 +232,7 @@
     }
 }
 
-/// A request's id, for the log.
+/// Returns a request's id for the log, or `-` if it has none.
 pub(super) fn shown(id: Option<&HeaderValue>) -> &str {
     id.and_then(|id| id.to_str().ok()).unwrap_or("-")
 }
