--- a/src/gateway/memory.rs
+++ b/src/gateway/memory.rs
@@ -1,26 +1,26 @@
-//! What replicas have been sent lately, by whichever node.
+//! Parts of prompts that any node has sent to replicas lately.
 //!
-//! The routers keep an index of what each replica has cached. This is where
-//! that comes from, and it outlives them: a node that starts is told of
-//! caches by another one before it has heard of the replicas, and passes its
-//! own memory on to the next. Without it every restart of a node would begin
-//! with reading prompts again that are cached somewhere; after a loss of
-//! power to all nodes, the replicas were overloaded for six seconds by it.
+//! The routers keep an index of what each replica has cached. The index is
+//! built from this store, which outlives the routers: a node that starts
+//! receives the parts from another node before it knows any replica, and sends
+//! them on to nodes that start later. Without it, replicas would read cached
+//! prompts again after each restart of a node; after a power loss of all
+//! nodes, this overloaded the replicas for six seconds.
 
 use crate::wire::Cached;
 
-/// For so long a part is remembered that was sent to a replica, in ms: about
-/// what a replica's cache holds under load.
-const REMEMBER_MS: u64 = 30_000;
+/// Time for which a part that was sent to a replica is kept, in ms: about as
+/// long as it stays in the replica's cache under load.
+const RETENTION_MS: u64 = 30_000;
 
-/// What is told again within this time is the same sending, in ms: each is
-/// told for 1.3 s.
-const REPEAT_MS: u64 = 1500;
+/// Time within which a repeated report is about the same sending of a part, in
+/// ms: nodes report each one for 1.3 s.
+const REPORT_WINDOW_MS: u64 = 1500;
 
 #[derive(Clone, Copy, Debug)]
 struct Part {
     cached: Cached,
-    noted_at: u64,
+    recorded_at: u64,
 }
 
 impl Part {
@@ -29,7 +29,7 @@
     }
 }
 
-/// Parts of prompts, by replica.
+/// Parts of prompts that replicas were sent lately, by replica.
 #[derive(Debug, Default)]
 pub struct Memory {
     /// Sorted by replica, then path.
@@ -37,14 +37,14 @@
 }
 
 impl Memory {
-    /// Notes that a replica was sent a part; true when that was not told a
-    /// moment ago already.
+    /// Records that a replica was sent a part; returns true unless this was
+    /// already recorded within the report window.
     pub fn note(&mut self, now: u64, cached: Cached) -> bool {
-        let part = Part { cached, noted_at: now };
+        let part = Part { cached, recorded_at: now };
         match self.parts.binary_search_by_key(&part.key(), Part::key) {
             Ok(at) => {
                 let before = std::mem::replace(&mut self.parts[at], part);
-                now >= before.noted_at + REPEAT_MS
+                now >= before.recorded_at + REPORT_WINDOW_MS
             }
             Err(at) => {
                 self.parts.insert(at, part);
@@ -53,7 +53,7 @@
         }
     }
 
-    /// What one replica was sent.
+    /// Returns the parts that one replica was sent.
     pub fn of(&self, replica: u64) -> impl Iterator<Item = &Cached> {
         let from =
             self.parts.partition_point(|part| part.cached.replica < replica);
@@ -63,13 +63,13 @@
             .take_while(move |cached| cached.replica == replica)
     }
 
-    /// All that is remembered.
+    /// Returns all parts.
     pub fn all(&self) -> Vec<Cached> {
         self.parts.iter().map(|part| part.cached).collect()
     }
 
-    /// Drops what is past its time.
+    /// Removes parts whose retention time is over.
     pub fn expire(&mut self, now: u64) {
-        self.parts.retain(|part| now < part.noted_at + REMEMBER_MS);
+        self.parts.retain(|part| now < part.recorded_at + RETENTION_MS);
     }
 }
