--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -1,9 +1,10 @@
-//! The replicas of each service, with a router for each.
+//! The replicas of each service, with a router for each service.
 //!
-//! Which replicas there are comes from the mesh; how loaded they are comes
-//! from the requests that all nodes have under way, added up. What this node
-//! sees itself goes before either: a replica whose heartbeats fail to arrive
-//! but that answers is used, and one that fails requests is passed over.
+//! The mesh provides the list of replicas. The load of a replica is the sum of
+//! the requests that all nodes have in flight there. This node's own
+//! observations take precedence over both: a replica whose heartbeats do not
+//! arrive is used while it answers requests, and a replica that fails requests
+//! is avoided.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -28,46 +29,51 @@
     wire::{Cached, Under, Work},
 };
 
-/// A replica is used for this long after its last heartbeat, in ms: three of
-/// them, and what one may be late.
-const HEARTBEAT_LIMIT_MS: u64 = 4500;
-/// A replica that answered this recently is used without heartbeats, in ms.
-const ANSWERED_MS: u64 = 3000;
-/// A replica that answered some request this recently is at work, in ms, and
-/// another one that waits there may just stand in line.
-const ANSWERING_MS: u64 = 1000;
-/// Milliseconds to read a token of prompt, at first; the router learns it.
-const TOKEN_MS: f32 = 0.02;
-/// Milliseconds that a running request adds to the next one's first token:
-/// a decoding step grows by some hundredths of a millisecond each, and a
-/// first token takes a few dozen steps' time under load.
-const BATCH_MS: f32 = 1.5;
-/// How long an engine's request holds its slot at first, in ms.
-const ENGINE_HOLD_MS: f32 = 1000.0;
-/// How long a plain request holds its slot at first, in ms.
-const PLAIN_HOLD_MS: f32 = 50.0;
+/// Time for which a replica is used after its last heartbeat, in ms: three
+/// heartbeat intervals and the delay of a heartbeat.
+const HEARTBEAT_TIMEOUT_MS: u64 = 4500;
+/// Time for which a replica is used without heartbeats after it last began to
+/// answer this node, in ms.
+const ANSWER_VALIDITY_MS: u64 = 3000;
+/// Time for which a replica counts as working after it last began to answer
+/// this node, in ms. A request that waits there may just be queued.
+const ACTIVITY_WINDOW_MS: u64 = 1000;
+/// Initial estimate of the time to read one prompt token, in ms; the router
+/// learns the actual time.
+const INITIAL_TOKEN_MS: f32 = 0.02;
+/// Time by which each running request delays the first token of the next
+/// request, in ms. Each one lengthens a decoding step by some hundredths of a
+/// millisecond, and a first token takes a few dozen steps under load.
+const BATCH_DELAY_MS: f32 = 1.5;
+/// Initial estimate of the time for which a request to an engine holds its
+/// slot, in ms.
+const INITIAL_ENGINE_HOLD_MS: f32 = 1000.0;
+/// Initial estimate of the time for which a plain request holds its slot, in
+/// ms.
+const INITIAL_PLAIN_HOLD_MS: f32 = 50.0;
 
 common! {
-    /// A replica that was chosen.
+    /// Replica chosen for an attempt.
     pub struct Target {
-        /// Its id.
+        /// Id of the replica.
         pub replica: String,
-        /// Where it listens.
+        /// Address that the replica listens on.
         pub address: SocketAddrV4,
-        /// To be handed back.
+        /// Ticket of the attempt, which the router takes back at its end.
         pub ticket: Ticket,
-        /// Prompt tokens that it probably has in its cache.
+        /// Prompt tokens that the replica probably has in its cache.
         pub cached_tokens: u32,
-        /// Where it should fetch more of the prompt.
+        /// Address of the replica to fetch more of the prompt's cache from.
         pub fetch_from: Option<SocketAddrV4>,
-        /// Expected time to the first byte, in ms.
+        /// Predicted time to the first byte, in ms.
         pub predicted_ms: f32,
     }
 }
 
 common! {
     struct Place {
-        /// The hash of its id, and its address: what shows that it has changed.
+        /// Hash of the id, and the address. Differs if the replica has
+        /// changed.
         key: (u64, u32, u32),
         replica: String,
         address: SocketAddrV4,
@@ -76,13 +82,14 @@
 }
 
 common! {
-    /// What keeps requests from the replicas of a service for now.
+    /// Queue for the replicas of a service while their rate limits are used
+    /// up.
     pub struct Queue {
-        /// Those that have named the rate that they take.
+        /// Number of replicas that have announced a rate limit.
         pub replicas: usize,
-        /// That of all of them, in requests a second.
+        /// Sum of their rate limits, in requests a second.
         pub rate: f32,
-        /// When it is a caller's turn, in ms.
+        /// Time until the caller's turn, in ms.
         pub wait_ms: u64,
     }
 }
@@ -94,39 +101,39 @@
     /// Sorted by replica.
     places: Vec<Place>,
     repeats: Window,
-    /// The weights are those of a planned service.
+    /// Whether the weights are those of a service in the plan.
     planned: bool,
-    /// When the last caller was told to come back whom no replica's limit had
-    /// room for.
+    /// Time at which the last caller in the queue was told to retry.
     queue_end: u64,
 }
 
-/// All services that have replicas or are planned.
+/// Services that have or had replicas.
 #[derive(Debug)]
 pub struct Fleet {
     data_centre: String,
     bound: Bound,
     /// Sorted by name.
     services: Vec<Routed>,
-    /// What this node has sent to replicas lately, to be told, with the time.
+    /// Parts that this node has sent to replicas lately, with the time, to be
+    /// reported to other nodes.
     cached: Vec<(u64, Cached)>,
-    /// What all nodes have.
+    /// Parts that all nodes have sent to replicas lately.
     memory: Memory,
 }
 
-/// Callers that limits have no room for are told to come back within this
-/// time, in ms: few wait longer.
-const LONGEST_QUEUE_MS: u64 = 5000;
-/// For so long a part that a replica was sent is told to the other nodes, in
-/// ms: in several datagrams, as one may be lost and as not all nodes are told
-/// in each round where there are many.
-const TELL_MS: u64 = 1300;
-/// Parts told in one datagram: what an active node with forty requests a second
-/// sends in that time, in 1.8 kB.
-const TOLD: usize = 64;
+/// Longest wait announced to callers when the rate limits are used up, in ms.
+/// Few callers wait longer.
+const MAX_QUEUE_WAIT_MS: u64 = 5000;
+/// Time for which a part sent to a replica is reported to the other nodes, in
+/// ms. It spans several datagrams, as one may be lost and as not every node is
+/// sent one in each round if there are many.
+const REPORT_PERIOD_MS: u64 = 1300;
+/// Parts reported in one datagram, in 1.8 kB: as many as an active node with
+/// forty requests a second sends within the report period.
+const MAX_REPORTED_PARTS: usize = 64;
 
 impl Fleet {
-    /// Starts without replicas, in this data centre.
+    /// Creates a fleet without replicas, for a node in `data_centre`.
     pub fn open(data_centre: &str, bound: Bound) -> Fleet {
         let data_centre = data_centre.to_owned();
         Fleet {
@@ -138,7 +145,7 @@
         }
     }
 
-    /// Takes over what the mesh knows now.
+    /// Updates the services from the mesh table and the plan.
     pub fn refresh(&mut self, now: u64, table: &Table, plan: Option<&Plan>) {
         let usable = || {
             let replicas = table.replicas().iter();
@@ -147,7 +154,8 @@
         let mut names: Vec<&str> = Vec::new();
         for replica in usable() {
             let name = replica.says.service.as_str();
-            // There are a few services, and a thousand replicas of one.
+            // A linear search will do: there are few services, although one
+            // may have a thousand replicas.
             if !names.contains(&name) {
                 names.push(name);
             }
@@ -155,7 +163,8 @@
         for name in &names {
             let planned = plan.and_then(|plan| plan.service(name));
             let at = self.service_or_new(name, planned);
-            let replicas = usable().filter(|one| one.says.service == *name);
+            let replicas =
+                usable().filter(|replica| replica.says.service == *name);
             let near = &self.data_centre;
             let memory = &self.memory;
             self.services[at].refresh(now, near, replicas, table, memory);
@@ -180,11 +189,12 @@
     ) -> usize {
         let open =
             || Pool::open(Policy::Cost, weights_for(planned), random_id());
-        match position(&self.services, name, |one| one.name.as_str()) {
+        match position(&self.services, name, |routed| routed.name.as_str()) {
             Ok(at) => {
                 let routed = &mut self.services[at];
                 if !routed.planned && planned.is_some() {
-                    // Its replicas came before the plan; no request did.
+                    // The replicas were known before the plan, and no request
+                    // has been routed yet.
                     routed.pool = open();
                     routed.places.clear();
                     routed.planned = true;
@@ -207,11 +217,12 @@
     }
 
     fn find(&mut self, service: &str) -> Option<&mut Routed> {
-        let at = position(&self.services, service, |one| one.name.as_str());
+        let at =
+            position(&self.services, service, |routed| routed.name.as_str());
         at.ok().map(|at| &mut self.services[at])
     }
 
-    /// Chooses a replica and counts the request as under way there.
+    /// Chooses a replica and counts the request as in flight there.
     pub fn pick(
         &mut self,
         now: u64,
@@ -232,9 +243,10 @@
         })
     }
 
-    /// Notes the parts of a prompt that a replica was sent and did not have.
+    /// Records the parts of a prompt that a replica was sent and did not have.
     ///
-    /// The last part is the request's own; nobody else will ask for it.
+    /// The last part is left out: it belongs to this request alone, so no
+    /// other request will contain it.
     pub fn note_sent(
         &mut self,
         now: u64,
@@ -260,48 +272,52 @@
         }
     }
 
-    /// The newest of what replicas have been sent, for the other nodes.
+    /// Returns the newest parts sent to replicas, for the other nodes.
     pub fn take_cached(&mut self, now: u64) -> Vec<Cached> {
-        self.cached.retain(|(at, _)| now < at + TELL_MS);
-        let newest = self.cached.iter().rev().take(TOLD);
+        self.cached.retain(|(at, _)| now < at + REPORT_PERIOD_MS);
+        let newest = self.cached.iter().rev().take(MAX_REPORTED_PARTS);
         newest.map(|(_, cached)| *cached).collect()
     }
 
-    /// Takes note of what other nodes have sent to replicas.
+    /// Records parts that other nodes have sent to replicas.
     pub fn note_cached(&mut self, now: u64, cached: &[Cached]) {
-        for one in cached {
-            if !self.memory.note(now, *one) {
+        for part in cached {
+            if !self.memory.note(now, *part) {
                 continue;
             }
             let routed = self
                 .services
                 .iter_mut()
-                .find(|routed| name_hash(&routed.name) == one.service);
+                .find(|routed| name_hash(&routed.name) == part.service);
             if let Some(routed) = routed {
-                routed.pool.sent_elsewhere(one.replica, &blocks_of_part(one));
+                routed
+                    .pool
+                    .sent_elsewhere(part.replica, &blocks_of_part(part));
             }
         }
     }
 
-    /// What replicas have been sent lately, by all nodes.
+    /// Returns the parts that all nodes have sent to replicas lately.
     pub fn cached(&self) -> Vec<Cached> {
         self.memory.all()
     }
 
-    /// Counts a first sending to a service.
+    /// Counts a first attempt at a service.
     pub fn sent(&mut self, now: u64, service: &str) {
         if let Some(routed) = self.find(service) {
             routed.repeats.sent(now);
         }
     }
 
-    /// Counts a repeat at a service, if there may be one.
+    /// Counts a retry at a service and returns true if the retry budget allows
+    /// one.
     pub fn repeat(&mut self, now: u64, service: &str, entries: usize) -> bool {
         self.find(service)
             .is_some_and(|routed| routed.repeats.repeat(now, entries))
     }
 
-    /// A replica began to answer, with the load that it named.
+    /// Records that a replica began to answer, with the load that it
+    /// announced.
     pub fn began(
         &mut self,
         now: u64,
@@ -314,20 +330,21 @@
         if let Some(load) = load {
             routed.pool.report(now, &target.replica, 0, load, 0);
         }
-        let at = position(&routed.places, &target.replica, |one| &one.replica);
+        let at =
+            position(&routed.places, &target.replica, |place| &place.replica);
         if let Ok(at) = at {
             routed.places[at].answered_at = now;
         }
     }
 
-    /// A piece of an answer came.
+    /// Records that a piece of a response arrived.
     pub fn progress(&mut self, now: u64, service: &str, ticket: Ticket) {
         if let Some(routed) = self.find(service) {
             routed.pool.progress(now, ticket, false);
         }
     }
 
-    /// A request ended.
+    /// Records the end of an attempt.
     pub fn end(
         &mut self,
         now: u64,
@@ -349,41 +366,42 @@
         }
     }
 
-    /// Takes this node's parts of the replicas' limits, sorted by replica.
+    /// Sets this node's shares of the replicas' rate limits, sorted by
+    /// replica.
     pub fn set_limits(&mut self, now: u64, parts: &[Part]) {
         for service in &mut self.services {
             service.pool.set_limits(now, parts);
         }
     }
 
-    /// When a caller should come back whom no replica of a service may take
-    /// now, for the rates that they have named; `None` where none has.
+    /// Queues a caller for whom the rate limits of a service's replicas leave
+    /// no room now; returns `None` if no replica has announced a rate limit.
     pub fn queue(&mut self, now: u64, service: &str) -> Option<Queue> {
         let routed = self.find(service)?;
         let (replicas, rate) = routed.pool.limited()?;
         let own = rate / (routed.pool.peers() + 1.0);
         let step_ms = (1000.0 / own.max(f32::MIN_POSITIVE)) as u64;
         let end = routed.queue_end.max(now).saturating_add(step_ms);
-        routed.queue_end = end.min(now + LONGEST_QUEUE_MS);
+        routed.queue_end = end.min(now + MAX_QUEUE_WAIT_MS);
         let wait_ms = routed.queue_end - now;
         Some(Queue { replicas, rate, wait_ms })
     }
 
-    /// The replica that a hash stands for, if it is known.
+    /// Returns the id of the replica with this hash, if it is known.
     pub fn name_of(&self, hash: u64) -> Option<&str> {
-        let places = self.services.iter().flat_map(|one| &one.places);
+        let places = self.services.iter().flat_map(|routed| &routed.places);
         let mut found = places.filter(|place| place.key.0 == hash);
         found.next().map(|place| place.replica.as_str())
     }
 
-    /// True when a replica of that hash may be given work.
+    /// Whether the replica with this hash may be used.
     pub fn knows(&self, hash: u64) -> bool {
         self.name_of(hash).is_some()
     }
 
-    /// Requests of this node under way, for the other nodes.
+    /// Returns this node's requests in flight, for the other nodes.
     pub fn under(&self) -> Vec<Under> {
-        let pools = self.services.iter().flat_map(|one| one.pool.own());
+        let pools = self.services.iter().flat_map(|routed| routed.pool.own());
         pools
             .filter(|(_, count, _)| *count > 0)
             .map(|(id, count, pending)| Under {
@@ -394,49 +412,52 @@
             .collect()
     }
 
-    /// The work of this node's requests since its start, by service.
+    /// Returns the work of this node's requests since its start, by service.
     pub fn work(&self) -> Vec<Work> {
         self.services
             .iter()
-            .map(|one| Work {
-                service: name_hash(&one.name),
-                ms: one.pool.work_ms(),
+            .map(|routed| Work {
+                service: name_hash(&routed.name),
+                ms: routed.pool.work_ms(),
             })
             .filter(|work| work.ms > 0)
             .collect()
     }
 
-    /// True when a replica has answered this node lately, whatever request.
+    /// Whether a replica has begun to answer any request of this node lately.
     pub fn is_answering(
         &self,
         now: u64,
         service: &str,
         replica: &str,
     ) -> bool {
-        now < self.answered_at(service, replica) + ANSWERING_MS
+        now < self.answered_at(service, replica) + ACTIVITY_WINDOW_MS
     }
 
-    /// When a replica last began to answer this node; 0 if it never did.
+    /// Returns when a replica last began to answer this node, or 0 if it never
+    /// did.
     pub fn answered_at(&self, service: &str, replica: &str) -> u64 {
-        let at = position(&self.services, service, |one| one.name.as_str());
+        let at =
+            position(&self.services, service, |routed| routed.name.as_str());
         let Ok(at) = at else { return 0 };
         let places = &self.services[at].places;
-        position(places, replica, |one| one.replica.as_str())
+        position(places, replica, |place| place.replica.as_str())
             .map_or(0, |at| places[at].answered_at)
     }
 
-    /// True when a replica of that id may be given work.
+    /// Whether the replica with this id may be used.
     pub fn has(&self, replica: &str) -> bool {
         self.services.iter().any(|service| {
-            position(&service.places, replica, |one| one.replica.as_str())
+            position(&service.places, replica, |place| place.replica.as_str())
                 .is_ok()
         })
     }
 
-    /// Replicas of a service that may be given work, and requests thought to
-    /// be under way at all of them.
+    /// Returns how many replicas of a service may be used, their slots, and
+    /// the estimated number of requests in flight there.
     pub fn load(&self, service: &str) -> (usize, u32, f32) {
-        let at = position(&self.services, service, |one| one.name.as_str());
+        let at =
+            position(&self.services, service, |routed| routed.name.as_str());
         match at {
             Ok(at) => {
                 let pool = &self.services[at].pool;
@@ -449,27 +470,29 @@
 
 common! {
     copy
-    /// How a request ended at its replica.
+    /// How an attempt ended.
     pub enum End {
-        /// With a whole answer, after so many ms.
+        /// The response is complete.
         Well {
-            /// For how long it held its slot, in ms.
+            /// Time for which the request held its slot, in ms.
             held_ms: u32,
         },
-        /// By a fault of the replica.
+        /// The replica failed.
         Failed,
-        /// The replica closed the connection before its answer was whole.
+        /// The replica closed the connection before the response was complete.
         Broken,
-        /// For a reason that says nothing about the replica.
+        /// The attempt was given up for a reason that says nothing about the
+        /// replica.
         Left,
-        /// Before it was sent.
+        /// The request was not sent.
         Unsent,
     }
 }
 
 impl Routed {
     fn address(&self, replica: &str) -> Option<SocketAddrV4> {
-        let at = position(&self.places, replica, |one| one.replica.as_str());
+        let at =
+            position(&self.places, replica, |place| place.replica.as_str());
         at.ok().map(|at| self.places[at].address)
     }
 
@@ -482,25 +505,29 @@
         memory: &Memory,
     ) {
         let is_fresh = |replica: &&table::Replica| {
-            let heard = now < replica.heard_at + HEARTBEAT_LIMIT_MS;
-            heard || self.answered(now, &replica.says.id)
+            let is_heard = now < replica.heard_at + HEARTBEAT_TIMEOUT_MS;
+            is_heard || self.has_answered(now, &replica.says.id)
         };
-        // Where no heartbeat comes through at all, the fault is more likely
-        // on this side of the cut than at every replica.
+        // If no heartbeat arrives at all, this node is more likely cut off
+        // than every replica down.
         let mut fresh = replicas.clone().filter(is_fresh);
-        let none = fresh.all(|replica| replica.state != State::Ready);
+        let none_fresh = fresh.all(|replica| replica.state != State::Ready);
         let standing = |replica: &table::Replica| {
-            standing(replica, none || is_fresh(&replica))
+            standing(replica, none_fresh || is_fresh(&replica))
         };
-        // Which replicas there are changes seldom: a comparison of numbers
-        // then takes the place of a thousand names.
+        // The list of replicas seldom changes. Comparing the numeric keys
+        // avoids handling a thousand ids.
         let places = self.places.iter().map(|place| place.key);
         let is_same = places.eq(replicas.clone().map(key));
         if is_same {
             let standings: Vec<(Standing, u32, bool)> = replicas
                 .clone()
-                .map(|one| {
-                    (standing(one), one.says.slots, one.says.reclaimable)
+                .map(|replica| {
+                    (
+                        standing(replica),
+                        replica.says.slots,
+                        replica.says.reclaimable,
+                    )
                 })
                 .collect();
             self.pool.set_standings(&standings);
@@ -510,12 +537,13 @@
                 .map(|replica| identity(replica, standing(replica)))
                 .collect();
             self.pool.set_replicas(near, &identities);
-            self.place(replicas.clone(), memory);
+            self.set_places(replicas.clone(), memory);
         }
         let lag_ms = load_lag_ms(table.reach(now).0) as u64;
         let loads = table.loads(now);
         for (at, replica) in replicas.enumerate() {
-            // What others have sent to one that is new is not known yet.
+            // The requests that other nodes have sent to a new replica are not
+            // known yet.
             if now >= replica.since + lag_ms {
                 let (load, pending) = loads.at(replica.hash());
                 self.pool.report_others_at(now, at, load, pending, lag_ms);
@@ -523,8 +551,8 @@
         }
     }
 
-    /// Takes the addresses of replicas that have changed.
-    fn place<'a>(
+    /// Replaces the list of replicas, and fills the index for new ones.
+    fn set_places<'a>(
         &mut self,
         replicas: impl Iterator<Item = &'a table::Replica>,
         memory: &Memory,
@@ -532,7 +560,7 @@
         let old = std::mem::take(&mut self.places);
         for replica in replicas {
             let says = &replica.says;
-            let at = position(&old, &says.id, |one| &one.replica);
+            let at = position(&old, &says.id, |place| &place.replica);
             self.places.push(Place {
                 key: key(replica),
                 replica: says.id.clone(),
@@ -551,9 +579,11 @@
         }
     }
 
-    fn answered(&self, now: u64, replica: &str) -> bool {
-        position(&self.places, replica, |one| one.replica.as_str())
-            .is_ok_and(|at| now < self.places[at].answered_at + ANSWERED_MS)
+    fn has_answered(&self, now: u64, replica: &str) -> bool {
+        position(&self.places, replica, |place| place.replica.as_str())
+            .is_ok_and(|at| {
+                now < self.places[at].answered_at + ANSWER_VALIDITY_MS
+            })
     }
 }
 
@@ -587,9 +617,9 @@
     let defaults = Weights::default();
     match engine {
         Some(engine) => Weights {
-            token_ms: TOKEN_MS,
-            hold_ms: ENGINE_HOLD_MS,
-            batch_ms: BATCH_MS,
+            token_ms: INITIAL_TOKEN_MS,
+            hold_ms: INITIAL_ENGINE_HOLD_MS,
+            batch_ms: BATCH_DELAY_MS,
             reclaim_ms: 0.0,
             block_tokens: BLOCK_TOKENS,
             fetch_ms: engine.fetch_ms,
@@ -597,7 +627,7 @@
             ..defaults
         },
         None => Weights {
-            hold_ms: PLAIN_HOLD_MS,
+            hold_ms: INITIAL_PLAIN_HOLD_MS,
             reclaim_ms: 0.0,
             tolerance_ms: 1.0,
             ..defaults
