--- a/tests/all/crashes.rs
+++ b/tests/all/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that end the replicas that run them.
+//! Requests that crash the replicas that run them.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -17,32 +17,32 @@
     },
 };
 
-/// A replica ends when it begins to run a request with this in it.
+/// A replica crashes when it begins to run a request that contains this.
 const FATAL: &str = "fatal";
-/// A replica tells the test that it runs a request with this in it, and ends a
-/// moment later.
+/// A replica informs the test that it runs a request that contains this, and
+/// stops after `STOP_DELAY`.
 const LAST: &str = "last";
-/// That moment.
-const MOMENT: Duration = Duration::from_millis(300);
-/// Replicas that a request may end before all nodes have to know of it.
-const CRASHES: usize = 3;
-/// How soon, as nodes in touch have to know what others were told.
-const CONTACT: Duration = Duration::from_secs(3);
-/// Times that it may reach replicas after that.
-const MORE: usize = 3;
+/// Time until the replica stops.
+const STOP_DELAY: Duration = Duration::from_millis(300);
+/// Replicas that a request may crash before all nodes have to quarantine it.
+const MAX_CRASHES: usize = 3;
+/// Time within which connected nodes have to know what the others know.
+const MAX_PROPAGATION_DELAY: Duration = Duration::from_secs(3);
+/// Replicas that a request may crash after that.
+const MAX_FURTHER_CRASHES: usize = 3;
 
-/// Before the test speaks for a replica that has ended: long beyond what a node
-/// takes to see it, as one that has crashed says nothing itself.
-const SEEN: Duration = Duration::from_millis(300);
+/// Delay before the test announces the departure of a replica that has
+/// crashed: much longer than a node takes to detect the crash, as a crashed
+/// replica announces nothing itself.
+const DETECTION_TIME: Duration = Duration::from_millis(300);
 
-/// A service whose replicas are back under another id as soon as they have
-/// ended.
+/// A service whose replicas are replaced under a new id after each crash.
 struct Service {
     site: Site,
     replicas: Vec<(String, SocketAddr)>,
     started: usize,
-    ended: mpsc::UnboundedReceiver<SocketAddr>,
-    tell_ended: mpsc::UnboundedSender<SocketAddr>,
+    stops: mpsc::UnboundedReceiver<SocketAddr>,
+    stops_sender: mpsc::UnboundedSender<SocketAddr>,
     crashes: usize,
 }
 
@@ -51,13 +51,13 @@
         let site = Site::open(3, 0).await;
         put(site.node(0), 1).await;
         site.all_serve().await;
-        let (tell_ended, ended) = mpsc::unbounded_channel();
+        let (stops_sender, stops) = mpsc::unbounded_channel();
         let mut service = Service {
             site,
             replicas: Vec::new(),
             started: 0,
-            ended,
-            tell_ended,
+            stops,
+            stops_sender,
             crashes: 0,
         };
         for _ in 0..replicas {
@@ -69,7 +69,7 @@
     async fn start_replica(&mut self) {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        tokio::spawn(run(listener, self.tell_ended.clone()));
+        tokio::spawn(run_replica(listener, self.stops_sender.clone()));
         self.started += 1;
         let id = format!("r{}", self.started);
         for node in self.site.nodes() {
@@ -78,11 +78,13 @@
         self.replicas.push((id, address));
     }
 
-    /// Notes which replicas have ended, and starts others in their place.
-    async fn replace_ended(&mut self) {
-        while let Ok(address) = self.ended.try_recv() {
+    /// Removes the replicas that have stopped, and starts others in their
+    /// place.
+    async fn replace_stopped(&mut self) {
+        while let Ok(address) = self.stops.try_recv() {
             self.crashes += 1;
-            let at = self.replicas.iter().position(|one| one.1 == address);
+            let at =
+                self.replicas.iter().position(|replica| replica.1 == address);
             let (id, _) = self.replicas.remove(at.unwrap());
             for node in self.site.nodes() {
                 node.sight(sighting(&id, address, 2));
@@ -91,28 +93,31 @@
         }
     }
 
-    /// Sends a request of its own id with this body to a node.
+    /// Sends a request with this id and body to a node.
     async fn send(&mut self, at: usize, id: usize, body: &str) -> String {
         let front = self.site.node(at).front().unwrap();
         let answer = ask(front, "/resume/x", id, body).await;
-        sleep(SEEN).await;
-        self.replace_ended().await;
+        sleep(DETECTION_TIME).await;
+        self.replace_stopped().await;
         answer
     }
 
-    /// Sends it to one node after the other, until it has ended three
-    /// replicas and for three rounds after that; returns the answers of these.
-    async fn send_again_and_again(&mut self, body: &str) -> Vec<String> {
+    /// Sends a request to the nodes in turn until it has crashed three
+    /// replicas, and for three rounds after the propagation delay; returns the
+    /// responses of these rounds.
+    async fn send_repeatedly(&mut self, body: &str) -> Vec<String> {
         let crash = async {
             for id in 0.. {
-                if self.crashes >= CRASHES {
+                if self.crashes >= MAX_CRASHES {
                     return;
                 }
                 self.send(id % 3, id, body).await;
             }
         };
-        timeout(PATIENCE, crash).await.expect("no three replicas have ended");
-        sleep(CONTACT).await;
+        timeout(PATIENCE, crash)
+            .await
+            .expect("fewer than three replicas have crashed");
+        sleep(MAX_PROPAGATION_DELAY).await;
         self.crashes = 0;
         let mut answers = Vec::new();
         for id in 100..109 {
@@ -123,12 +128,12 @@
 }
 
 impl Service {
-    /// Stops these nodes together and starts them again with their disks.
-    async fn restart(&mut self, which: &[usize]) {
-        for &at in which {
+    /// Stops these nodes, and then starts them again with their disks.
+    async fn restart(&mut self, nodes: &[usize]) {
+        for &at in nodes {
             self.site.stop(at).await;
         }
-        for &at in which {
+        for &at in nodes {
             self.site.start(at, false).await;
         }
         self.site.all_serve().await;
@@ -139,8 +144,8 @@
         }
     }
 
-    /// Waits until all nodes refuse what is fatal.
-    async fn is_refused(&mut self, when: &str) {
+    /// Waits until all nodes refuse the fatal request.
+    async fn wait_until_refused(&mut self, when: &str) {
         let refused = async {
             for at in 0..3 {
                 while status(&self.send(at, 500 + at, FATAL).await) != "503" {
@@ -152,11 +157,11 @@
     }
 }
 
-/// Answers what is harmless, and begins to answer what is fatal before it ends
-/// with all its connections.
-async fn run(
+/// Runs a replica, which answers harmless requests. It begins to answer a
+/// fatal one and then crashes.
+async fn run_replica(
     listener: TcpListener,
-    tell_ended: mpsc::UnboundedSender<SocketAddr>,
+    stops_sender: mpsc::UnboundedSender<SocketAddr>,
 ) {
     let address = listener.local_addr().unwrap();
     let (send, mut heads) = mpsc::unbounded_channel();
@@ -171,16 +176,16 @@
             }
             Some(head) = heads.recv() => {
                 if head.contains(LAST) {
-                    let _ = tell_ended.send(address);
-                    sleep(MOMENT).await;
+                    let _ = stops_sender.send(address);
+                    sleep(STOP_DELAY).await;
                     return;
                 }
                 if head.contains(FATAL) {
-                    // The head of its answer is out.
+                    // By now the head of the response has been sent.
                     sleep(Duration::from_millis(20)).await;
                     drop(listener);
                     connections.shutdown().await;
-                    let _ = tell_ended.send(address);
+                    let _ = stops_sender.send(address);
                     return;
                 }
             }
@@ -190,7 +195,7 @@
 
 fn respond(head: &str) -> Vec<String> {
     if head.contains(FATAL) || head.contains(LAST) {
-        // Only the head of a stream.
+        // Only the head of a stream is sent.
         let mut pieces = events(1..=1);
         pieces.truncate(1);
         pieces.push(HANG.to_owned());
@@ -199,56 +204,65 @@
     ok("fine")
 }
 
-/// Symptom: replicas of a service end one after the other, up to eighteen of
-/// them, and take the streams of others with them. Sequence: one caller sends
-/// a request that ends each replica that begins to run it, again and again,
-/// under new ids, to whichever node; after three crashes it still reaches one
-/// replica after the other. Cause: what a node learns of a request it keeps
-/// under the id of the attempt, and for itself. Evidence: by what they asked
-/// for, 33 of the streams that broke off in an incident were two requests, 17
-/// and 16 times and never well; 65 others broke off once each.
+/// Guards against a request that crashes replicas one after the other, up to
+/// eighteen of them, together with the streams of other callers there. A
+/// caller sends such a request repeatedly, under new ids and to any node. Each
+/// node recorded crashes only for itself and under the id of the attempt, so
+/// the request still reached replicas after three crashes. In an incident, 33
+/// of the streams that broke off had just two fingerprints, 17 and 16 times,
+/// and never succeeded; 65 others broke off once each.
 #[tokio::test]
-async fn a_request_that_ends_replicas_is_refused_by_all_nodes() {
+async fn a_request_that_crashes_replicas_is_refused_by_all_nodes() {
     let mut service = Service::open(4).await;
-    let answers = service.send_again_and_again(FATAL).await;
+    let answers = service.send_repeatedly(FATAL).await;
     let crashes = service.crashes;
-    assert!(crashes <= MORE, "{crashes} more replicas have ended");
+    assert!(
+        crashes <= MAX_FURTHER_CRASHES,
+        "{crashes} more replicas have crashed"
+    );
     for answer in answers {
         assert_eq!(status(&answer), "503", "{answer}");
         let answer = answer.to_lowercase();
         assert!(answer.contains("retry-after: "), "{answer}");
         assert!(answer.contains("not run"), "{answer}");
     }
-    // What others ask for is served all the while.
+    // Other requests are still served.
     for at in 0..3 {
         let answer = service.send(at, 1000 + at, "harmless").await;
         assert_eq!(status(&answer), "200", "{answer}");
     }
 }
 
-/// Symptom: after a loss of power to all nodes a request ends three replicas
-/// more. Sequence: it is kept away; one node is stopped and started, then all
-/// are at once. Cause: what was known of it was in the memory of the nodes.
+/// Guards against a quarantined request that crashes three more replicas after
+/// a restart of one node, and then of all nodes at once, as in a power loss.
+/// Nodes kept the crashes in memory only.
 #[tokio::test]
-async fn a_request_is_kept_away_after_one_or_all_have_restarted() {
+async fn a_request_stays_quarantined_after_one_or_all_nodes_restart() {
     let mut service = Service::open(4).await;
-    service.send_again_and_again(FATAL).await;
+    service.send_repeatedly(FATAL).await;
     service.crashes = 0;
     service.restart(&[1]).await;
-    service.is_refused("one has restarted").await;
+    service
+        .wait_until_refused("not refused after one node has restarted")
+        .await;
     service.restart(&[0, 1, 2]).await;
-    service.is_refused("all have restarted").await;
-    // It may have come before a node that starts had asked the others.
+    service
+        .wait_until_refused("not refused after all nodes have restarted")
+        .await;
+    // A request may arrive before a restarted node has asked the others.
     let crashes = service.crashes;
-    assert!(crashes <= MORE, "{crashes} more replicas have ended");
+    assert!(
+        crashes <= MAX_FURTHER_CRASHES,
+        "{crashes} more replicas have crashed"
+    );
 }
 
-/// Symptom: callers are refused for ten minutes as a replica loses some of its
-/// answers. Sequence: it closes the connection in the middle of an answer,
-/// again and again, and serves others meanwhile. Cause: each connection that
-/// broke was taken for the end of its replica.
+/// Guards against callers being refused for ten minutes because a live replica
+/// loses some of its responses. It repeatedly closes a connection in the
+/// middle of a response and serves other requests meanwhile. Each broken
+/// connection was taken for a crash.
 #[tokio::test]
-async fn connections_that_break_at_living_replicas_count_for_nothing() {
+async fn broken_connections_of_live_replicas_are_no_crashes() {
     let replica = Replica::spawn(|head| match head.contains("/again/") {
         true => vec![CLOSE.to_owned()],
         false => ok("fine"),
@@ -258,23 +272,24 @@
     for _ in 0..5 {
         let answer = world.get("/again/x").await;
         assert_eq!(status(&answer), "502", "{answer}");
-        // What is tried then is known by the next time.
+        // By then the node knows the result of its new connection.
         sleep(Duration::from_millis(100)).await;
     }
     assert_eq!(status(&world.get("/once/x").await), "200");
 }
 
-/// Symptom: callers of a service are refused for minutes after its replicas
-/// were replaced one after the other. Sequence: each says that it leaves, and
-/// ends with a long request still under way; its caller asks again, and is at
-/// the end of three. Cause: an end that was announced was taken for a crash.
+/// Guards against callers being refused for minutes after the replicas of a
+/// service were replaced one by one. Each replica announces its departure and
+/// stops with a long request in flight; the caller retries, so the request is
+/// in flight when three replicas stop. An announced departure was taken for a
+/// crash.
 #[tokio::test]
-async fn replicas_that_said_that_they_leave_have_not_crashed() {
+async fn replicas_that_announced_their_departure_have_not_crashed() {
     let mut service = Service::open(1).await;
     for id in 0..4 {
         let front = service.site.node(id % 3).front().unwrap();
         let asked = tokio::spawn(ask(front, "/stream/x", id, LAST));
-        let running = timeout(PATIENCE, service.ended.recv()).await;
+        let running = timeout(PATIENCE, service.stops.recv()).await;
         let running = running.expect("refused").unwrap();
         let (replica, _) = service.replicas.pop().unwrap();
         for node in service.site.nodes() {
@@ -283,7 +298,7 @@
         let answer = asked.await.unwrap();
         assert_eq!(status(&answer), "200", "{answer}");
         service.start_replica().await;
-        // What was noted of it goes round.
+        // Leaves time for reports about the request to spread.
         sleep(Duration::from_millis(400)).await;
     }
 }
