--- a/tests/all/fleet.rs
+++ b/tests/all/fleet.rs
@@ -1,4 +1,4 @@
-//! The replicas of each service, as they come and go in the mesh.
+//! The gateway's fleet, while replicas change in the mesh.
 
 use azuremount::{
     decide::{retry::Bound, route::Ask},
@@ -35,7 +35,7 @@
     }
 }
 
-/// The replicas that requests may go to, and where.
+/// Returns the replicas that requests are sent to, and their addresses.
 fn used(fleet: &mut Fleet, now: u64) -> Vec<(String, String)> {
     let mut used = Vec::new();
     for _ in 0..200 {
@@ -50,13 +50,13 @@
 }
 
 /// Replicas appear, move to other ports, leave, fall silent and are heard
-/// again; a fleet that keeps what has not changed uses the same ones at the
-/// same addresses as one that begins anew.
+/// again. A fleet that is updated in steps uses the same replicas at the same
+/// addresses as a new one.
 #[test]
-fn a_fleet_that_keeps_what_has_not_changed_knows_all_that_a_new_one_does() {
+fn an_updated_fleet_uses_the_same_replicas_as_a_new_one() {
     for seed in 0..40 {
         let mut rng = StdRng::seed_from_u64(seed);
-        let (mut table, mut kept) = (table(), Fleet::open("one", BOUND));
+        let (mut table, mut updated) = (table(), Fleet::open("one", BOUND));
         let mut sequence = 0;
         for now in (1000..60_000).step_by(500) {
             for _ in 0..rng.random_range(0..4) {
@@ -67,20 +67,24 @@
                 table.sight(now, says(number, sequence, state, port), true);
             }
             table.expire(now);
-            kept.refresh(now, &table, None);
+            updated.refresh(now, &table, None);
             let mut new = Fleet::open("one", BOUND);
             new.refresh(now, &table, None);
-            assert_eq!(used(&mut kept, now), used(&mut new, now), "at {now}");
+            assert_eq!(
+                used(&mut updated, now),
+                used(&mut new, now),
+                "at {now}"
+            );
         }
     }
 }
 
-/// Symptom: a node refuses all requests after a loss of power, though it knows
-/// all replicas. Sequence: its disk remembers them, and the plan comes later.
-/// Cause: the plan opens the service's router anew, and the replicas, which
-/// had not changed, were not told to it again.
+/// Guards against a node that refuses all requests after a power loss although
+/// it knows all replicas. Its disk has the replicas, and the plan arrives
+/// later. The plan then replaces the router of the service, and the new router
+/// did not receive the replicas, as these had not changed.
 #[test]
-fn replicas_that_came_before_the_plan_are_used() {
+fn replicas_known_before_the_plan_are_used() {
     let (mut table, mut fleet) = (table(), Fleet::open("one", BOUND));
     table.sight(1000, says(1, 1, 0, 80), true);
     fleet.refresh(1000, &table, None);
