--- a/src/gateway/overload.rs
+++ b/src/gateway/overload.rs
@@ -17,7 +17,7 @@
     pub fn limited(&self) -> Option<Refusal> {
         let now = self.now();
         let queue = self.gateway.fleet().queue(now, &self.service)?;
-        let text = "the rate limits of all replicas are used up";
+        let text = "the replicas take no more for now";
         let refusal = Refusal::later(text, queue.wait_ms);
         let cause = Some(Box::new(Cause::Limit(queue)));
         Some(Refusal { cause, ..refusal })
@@ -43,7 +43,7 @@
         let limit_ms = target_ms * factor;
         (target.predicted_ms > limit_ms).then(|| {
             let wait_ms = (target.predicted_ms - target_ms / 2.0) as u64;
-            let text = "the predicted wait at the replicas is too long";
+            let text = "the replicas have too much to read";
             let cause = Cause::Load {
                 replica: target.replica.clone(),
                 foretold_ms: target.predicted_ms as u64,
--- a/src/gateway/refusal.rs
+++ b/src/gateway/refusal.rs
@@ -134,7 +134,7 @@
 
     /// Reports that a request timed out.
     pub fn late(verdict: Verdict) -> Refusal {
-        let text = "no response before the deadline";
+        let text = "no answer in time";
         match verdict {
             Verdict::NotRun => Refusal::later(text, MIN_RETRY_AFTER_MS),
             _ => Refusal {
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -193,7 +193,7 @@
             );
             return Ok(());
         }
-        let text = "replicas crashed while they ran this request";
+        let text = "replicas ended under it";
         let cause = Cause::Crashes { fingerprint, reason };
         let cause = Some(Box::new(cause));
         let wait_ms = reason.retry_after_ms();
