--- a/src/mesh/counts.rs
+++ b/src/mesh/counts.rs
@@ -1,24 +1,25 @@
-//! How many requests began at each node, for reports of usage.
+//! Counts the requests that began at each node, for usage reports.
 //!
-//! A node counts its own requests by window and team and tells the sums; they
-//! only grow. So whatever is doubled, late or passed on by others changes
-//! nothing, and the sum over all incarnations of all nodes is the truth.
+//! Each node counts its own requests by window and team and sends the totals,
+//! which only grow. Duplicate, late and relayed datagrams therefore change
+//! nothing, and the sum over all incarnations of all nodes is the correct
+//! total.
 
 use crate::{
     util::position,
     wire::{Began, RecordUsage, TeamCount},
 };
 
-/// Windows that are told each time: the present one and the one that has just
-/// ended, for as long as the present one lasts.
+/// Windows in each load report: the current window and the one that has just
+/// ended, while the current one lasts.
 const TOLD_WINDOWS: usize = 2;
-/// Windows that are told now and then, for nodes that have missed all that.
+/// Windows in an extended report, for nodes that have missed the regular ones.
 const TOLD_AGAIN: usize = 4;
-/// Every so many times.
+/// Every fourth load report is an extended one.
 const AGAIN: u64 = 4;
-/// Windows remembered; all reports are due within fewer.
+/// Windows that are retained. Every usage report is due within fewer.
 const REMEMBERED_WINDOWS: u64 = 8;
-/// Other nodes whose counts are passed on in one datagram.
+/// Other nodes whose counts are relayed in one datagram.
 const RELAYED: usize = 3;
 
 /// Counts of all nodes, by incarnation.
@@ -49,7 +50,7 @@
         add(&mut windows[at].counts, team, 1);
     }
 
-    /// Takes what a node has counted.
+    /// Merges the counts that a node has sent.
     pub fn note(&mut self, new: Began) {
         if new.windows.is_empty() {
             return;
@@ -62,7 +63,8 @@
             }
         };
         for window in new.windows {
-            // What was overtaken by a later datagram shows by its lower sum.
+            // The totals only grow, so a lower total comes from an older
+            // datagram that was overtaken by a newer one.
             let windows = &mut self.began[at].windows;
             let found = position(windows, &window.window, |one| &one.window);
             match found {
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Requests that began in a window, anywhere, by team.
+    /// Returns the requests that began in a window at all nodes, by team.
     pub fn sum(&self, window: u64) -> RecordUsage {
         let mut counts: Vec<TeamCount> = Vec::new();
         let windows = self.began.iter().flat_map(|began| &began.windows);
@@ -88,8 +90,7 @@
         RecordUsage { window, counts }
     }
 
-    /// The newest windows of one node; `time` counts the times that they are
-    /// told.
+    /// Returns the newest windows of one node for load report `report_number`.
     pub fn latest_of(&self, node: u64, time: u64) -> Vec<RecordUsage> {
         let most = match time.is_multiple_of(AGAIN) {
             true => TOLD_AGAIN,
@@ -99,8 +100,9 @@
         at.map(|at| latest(&self.began[at], most)).unwrap_or_default()
     }
 
-    /// The newest windows of some nodes besides `own`: others each `time`, as
-    /// a whole data centre of them may be silent.
+    /// Returns the newest windows of some nodes other than `own`. The nodes
+    /// rotate with `report_number`, because a whole data centre of them may be
+    /// silent.
     pub fn others(
         &self,
         own: u64,
@@ -125,7 +127,7 @@
             .collect()
     }
 
-    /// Forgets windows that all reports are past.
+    /// Drops windows for which all usage reports have been made.
     pub fn expire(&mut self) {
         let windows = self.began.iter().flat_map(|began| &began.windows);
         let newest = windows.map(|one| one.window).max().unwrap_or(0);
