--- a/src/mesh/datagram.rs
+++ b/src/mesh/datagram.rs
@@ -1,4 +1,4 @@
-//! Datagrams between nodes, as they are read and written.
+//! Reads and writes the datagrams that nodes exchange.
 
 use super::{
     FANOUT,
@@ -11,46 +11,49 @@
     wire::{Beat, Began, Gossip, Peer, Sighting},
 };
 
-/// A replica without a heartbeat for this long is forgotten, in ms. Longer
-/// than a cut between a replica and control, behind which it goes on serving.
+/// Time without heartbeats after which a replica is dropped, in ms. It is
+/// longer than a network partition between a replica and control, during which
+/// the replica goes on serving.
 const FORGET_REPLICA_MS: u64 = 30_000;
-/// How long the mark of a replica that has left is kept, in ms: longer than a
-/// heartbeat can be late.
+/// Time for which a leaving or departed replica is remembered, in ms. It is
+/// longer than a heartbeat can be delayed.
 const TOMBSTONE_MS: u64 = 60_000;
-/// Replicas named whole in one datagram, so that it fits an Ethernet frame.
+/// Replicas with all their fields in one datagram, so that it fits an Ethernet
+/// frame.
 const REPLICAS_PER_DATAGRAM: usize = 12;
-/// Heartbeats told in one datagram, at 16 bytes each: forty nodes relay those
-/// of six hundred replicas, so that some twenty are told at any time.
+/// Heartbeats in one datagram, at 16 bytes each. Forty nodes relay those of
+/// six hundred replicas, so about twenty are due at any time.
 const BEATS_PER_DATAGRAM: usize = 32;
-/// Nodes named in one datagram besides the sender. With seventy nodes each
-/// is so heard of five times a second; with three, one in a hundred seemed
-/// silent at any time.
+/// Nodes in one datagram besides the sender. With seventy nodes, each node is
+/// thus reported five times a second. With a value of three, one node in a
+/// hundred appeared silent at any time.
 const PEERS_PER_DATAGRAM: usize = 6;
-/// Nodes named in an answer to one that starts or stands by, besides those
-/// that it has to know.
+/// Nodes in an answer to a starting or standby node, besides those that it
+/// needs to know.
 const PEERS_IN_ANSWER: usize = 8;
-/// Active nodes of its data centre that are named in an answer at most, for
-/// the length of a datagram.
+/// Maximum number of needed nodes in an answer: active nodes of the asking
+/// node's data centre and nodes with a disk. It bounds the length of the
+/// datagram.
 const NEAR_IN_ANSWER: usize = 24;
-/// Nodes are passed on that were heard so recently, in ms: what is older helps
-/// nobody to tell that they live.
+/// Maximum age of a node's last report for the node to be relayed, in ms. An
+/// older report does not help to show that the node is live.
 const PASSED_ON_MS: u64 = LIVE_MS / 2;
-/// A node that stands by tells each heartbeat so many times, each time to
-/// another node: one datagram may be lost.
+/// Number of times that a standby node sends each heartbeat, each time to
+/// another node, because one datagram may be lost.
 const TOLD_BY_STANDBY: u32 = 2;
-/// Replicas in each datagram that the receiver probably knows, in turn, so
-/// that every gap is filled within seconds.
+/// Replicas that each datagram repeats in turn although the receiver probably
+/// knows them, so that every gap is filled within seconds.
 const REPEATED_PER_DATAGRAM: usize = 3;
 
 common! {
     copy
-    /// What a datagram says of its sender's load.
+    /// The part of its sender's load that a datagram reports.
     pub(super) enum Scope {
-        /// All of it.
+        /// The whole load.
         All,
-        /// Nothing.
+        /// No load.
         Nothing,
-        /// Its requests under way.
+        /// Only the requests in flight.
         UnderWay,
     }
 }
@@ -66,7 +69,7 @@
 }
 
 impl Table {
-    /// Takes a datagram; `wall_ms` is this node's time of day.
+    /// Applies a received datagram. `wall_ms` is this node's wall-clock time.
     pub fn hear(&mut self, now: u64, wall_ms: i64, gossip: Gossip) -> News {
         let mut news = News::default();
         let Some(from) = gossip.from else { return news };
@@ -74,8 +77,9 @@
             return news;
         }
         let (ip, incarnation) = (from.ip, from.incarnation);
-        // Whoever stands by tells one node what it hears from replicas; that
-        // node tells the others as if it had heard it itself.
+        // A standby node sends the heartbeats that it receives from replicas
+        // to one node at a time. That node relays them as if it had received
+        // them itself.
         let relays = self.is_member()
             && !from.has_disk
             && Role::of(&from) == Role::Standby;
@@ -131,17 +135,18 @@
         if says.ip == self.me.ip {
             return false;
         }
-        // Counted from now, word of a dead node that goes round would keep it
-        // alive for as long as anybody passes it on.
+        // The age is subtracted because a report of a dead node, if its age
+        // counted from its arrival, would keep that node live for as long as
+        // other nodes relay it.
         let heard_at = now.saturating_sub(u64::from(says.age_ms));
         let says = Peer { age_ms: 0, ..says };
         match position(&self.nodes, &says.ip, |one| &one.says.ip) {
             Ok(at) => {
                 let node = &mut self.nodes[at];
                 let restarted = node.says.incarnation != says.incarnation;
-                // A beat is a time of day, so it grows across restarts too,
-                // unless the clock has jumped back meanwhile: then the node
-                // is believed as soon as it speaks for itself.
+                // A beat is a wall-clock time, so it also grows across
+                // restarts unless the clock has jumped back. In that case the
+                // restarted node is accepted once it sends a datagram itself.
                 let old = says.beat <= node.says.beat;
                 if old && !(restarted && direct) {
                     return false;
@@ -173,7 +178,7 @@
         }
     }
 
-    /// The next datagram to nodes that tell each other of their load.
+    /// Returns the next datagram to members, with this node's load.
     pub fn compose(&mut self, now: u64, wall_ms: i64, own: Own) -> Gossip {
         let (replicas, beats) = self.next_replicas(now);
         let gossip = self.word(now, wall_ms, replicas, beats);
@@ -181,8 +186,8 @@
         Gossip { peers, ..self.with_load(now, gossip, own) }
     }
 
-    /// What is urgent, and nothing else: who this node is, and which replicas
-    /// are new or leave.
+    /// Returns a datagram with urgent information only: this node, and
+    /// replicas that are new or have changed their state.
     pub(super) fn compose_urgent(&mut self, now: u64, wall_ms: i64) -> Gossip {
         let changed = self.replicas.iter().filter(|one| one.tell_whole > 0);
         let changed = changed.take(REPLICAS_PER_DATAGRAM);
@@ -191,11 +196,11 @@
         Gossip { scope: Scope::Nothing as u32, ..gossip }
     }
 
-    /// The answer to a node that greets.
+    /// Returns the answer to a node that greets this one.
     ///
-    /// One that stands by is told whom callers may be sent to in its data
-    /// centre, who can lead, and what is new of replicas; any other one what
-    /// its own kind is told, and of more nodes.
+    /// A standby node receives the active nodes of its data centre, the nodes
+    /// that can lead, and new information on replicas. Any other node receives
+    /// what members receive, with more nodes.
     pub fn answer(
         &mut self,
         now: u64,
@@ -222,7 +227,7 @@
         }
     }
 
-    /// What every datagram says.
+    /// Returns the fields that every datagram has.
     fn word(
         &mut self,
         now: u64,
@@ -260,7 +265,7 @@
         }
     }
 
-    /// Some of the nodes that tell of their load, in turn.
+    /// Returns some of the members, in turn.
     fn next_peers(&mut self, now: u64, most: usize) -> Vec<Peer> {
         let from = self.next_peer;
         self.next_peer = from.wrapping_add(most);
@@ -290,13 +295,15 @@
         peers
     }
 
-    /// What is new first, then some of the rest in turn: what others may not
-    /// know whole, what they know by its heartbeat.
+    /// Returns new information first, then some other replicas in turn: with
+    /// all fields for replicas that other nodes may not know, and as a
+    /// heartbeat for the rest.
     ///
-    /// News are told until every node had its turn. Told only once where
-    /// nodes take turns, three of four nodes would know heartbeats by the
-    /// turn of the rest alone, up to twelve seconds late with seventy nodes;
-    /// each replica then seemed silent to some nodes at any time.
+    /// New information is sent until every node has had its turn. If it were
+    /// sent only once although nodes take turns, three of four nodes would
+    /// learn of heartbeats only when the replica is repeated, up to twelve
+    /// seconds late with seventy nodes. Each replica would then appear silent
+    /// to some nodes at any time.
     fn next_replicas(&mut self, now: u64) -> (Vec<Sighting>, Vec<Beat>) {
         let rounds = match self.is_member() {
             true => self.members(now).count().div_ceil(FANOUT).max(1) as u32,
@@ -325,7 +332,7 @@
         (whole, beats)
     }
 
-    /// Some replicas in turn.
+    /// Returns some replicas, in turn.
     fn repeated(&mut self, now: u64) -> Vec<Sighting> {
         let count = self.replicas.len().min(REPEATED_PER_DATAGRAM);
         let mut repeated = Vec::new();
@@ -336,7 +343,7 @@
         repeated
     }
 
-    /// Drops what is past its time.
+    /// Drops nodes, replicas and counts whose retention has passed.
     pub fn expire(&mut self, now: u64) {
         self.nodes.retain(|node| now < node.heard_at + FORGET_NODE_MS);
         self.replicas.retain(|replica| {
