--- a/src/mesh/lives.rs
+++ b/src/mesh/lives.rs
@@ -1,10 +1,9 @@
-//! What replicas say of themselves: one after the other, and of each of their
-//! lives.
+//! Tracks the heartbeats of replicas, by incarnation.
 //!
-//! The state of a replica's life only moves from ready to leaving to gone. Its
-//! next start is another life; so a late heartbeat can't bring back one that
-//! has left. Lives of one replica are ordered by when they began, and the last
-//! one counts: see [`life_name`].
+//! The state of an incarnation only moves from ready to leaving to departed.
+//! The replica's next start is another incarnation, so a late heartbeat can't
+//! bring back one that has departed. Incarnations of a replica are ordered by
+//! start time, and the last one is current: see [`life_name`].
 
 use super::{
     replica::{Replica, State},
@@ -15,47 +14,53 @@
     wire::Sighting,
 };
 
-/// A replica that is remembered from before this node started is used for so
-/// long without a heartbeat, in ms: one of them, and what it may be late.
+/// Time for which a replica that is remembered from before this node started
+/// is used without a heartbeat, in ms. It covers one heartbeat interval and
+/// the delay of a heartbeat.
 const REMEMBERED_MS: u64 = 2000;
-/// For so long every datagram names a replica that has left, in ms: long
-/// enough for several to reach each node, also where many nodes take turns.
+/// Time for which every datagram lists a leaving or departed replica, in ms.
+/// Several such datagrams reach each node in that time, also where many nodes
+/// take turns.
 const TELL_LEFT_MS: u64 = 2500;
-/// Replicas that have left and are named in one datagram.
+/// Leaving or departed replicas in one datagram.
 const LEFT_PER_DATAGRAM: usize = 64;
-/// A life that began before the known one by its own word is late word of a
-/// former life, unless the known one has been silent for so long, in ms: then
-/// the clock of its VM has jumped back between the two. Longer than heartbeats
-/// are late as a rule; a replica whose clock jumped back is unused as long.
+/// Silence of the current incarnation after which an incarnation with an
+/// earlier start time replaces it, in ms. Before that, a heartbeat with an
+/// earlier start time is taken for a late one of a former incarnation. After
+/// that, the VM's clock has jumped back between the two starts. It is longer
+/// than the usual delay of heartbeats; a replica whose clock has jumped back
+/// is not used for that time.
 const SILENT_LIFE_MS: u64 = 10_000;
-/// A goodbye that doesn't tell which life says it is that of a life that is
-/// first heard so soon after it, too, in ms: heartbeats are seconds late.
+/// Time after a departure notice without a start time during which the notice
+/// also applies to an incarnation that is heard for the first time, in ms.
+/// Heartbeats may be delayed by seconds.
 const GOODBYE_MS: u64 = 3000;
-/// Stands between a replica's id and the birth of one of its lives.
+/// Separates a replica's id from the start time of an incarnation.
 const LIFE: char = '@';
 
-/// What is known of a life since some moment.
+/// What is known of an incarnation since a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
-    /// It was heard.
+    /// A heartbeat was received.
     Lives,
-    /// It said that it leaves.
+    /// It announced that it leaves.
     Leaves,
-    /// Another life of its replica, or another replica at its address, was
-    /// heard, and it was not.
+    /// It was not heard, but another incarnation of its replica, or another
+    /// replica at its address, was.
     Followed,
-    /// It was not heard, and others were.
+    /// It was not heard, but other replicas were.
     Silent,
-    /// No replica was heard, so that this says nothing.
+    /// No replica was heard, so its silence proves nothing.
     Unknown,
 }
 
-/// What the life of a replica that began at `born` is called; 0 when that is
-/// not told.
+/// Returns the id of a replica's incarnation that started at `born`, or the
+/// replica's id if `born` is 0 (not reported).
 ///
-/// A replica may start again under its id, and knows nothing of before. Its
-/// lives are different replicas here, so that nothing that is kept by name
-/// (caches, load, failures, connections, holds) passes from one to the next.
+/// A replica may restart under the same id without any knowledge of its
+/// previous incarnation. Each incarnation is a separate replica here, so that
+/// nothing that is stored by id (caches, load, failures, connections, holds)
+/// passes from one incarnation to the next.
 pub fn life_name(replica: &str, born: u64) -> String {
     if born == 0 && !replica.contains(LIFE) {
         return replica.to_owned();
@@ -63,18 +68,18 @@
     format!("{replica}{LIFE}{born}")
 }
 
-/// The replica that a life is one of, as it calls itself.
+/// Returns the replica id that is part of an incarnation's id.
 pub fn replica_of(life: &str) -> &str {
     life.rsplit_once(LIFE).map_or(life, |(replica, _)| replica)
 }
 
-/// A life's number towards other nodes.
+/// Returns the number that identifies an incarnation between nodes.
 pub fn replica_hash(id: &str) -> u64 {
     crate::util::name_hash(id)
 }
 
 impl Table {
-    /// Takes a replica's statement; true when it is news to others.
+    /// Applies a heartbeat. Returns true if other nodes need to know of it.
     pub fn sight(&mut self, now: u64, says: Sighting, direct: bool) -> bool {
         if says.remembered {
             self.remember(now, says);
@@ -96,7 +101,7 @@
         if state != State::Ready {
             self.note_left(now, hash);
         } else if left {
-            // Others have said so; this is from before.
+            // The departure is known already, so this heartbeat is older.
             state = State::Leaving;
         }
         let found = position(&self.replicas, says.id.as_str(), |one| {
@@ -105,8 +110,8 @@
         match found {
             Ok(at) => self.replicas[at].renew(says, state, heard_at, direct),
             Err(_) if state == State::Gone && says.service.is_empty() => {
-                // A goodbye of somebody never seen: the mark keeps a late
-                // heartbeat from bringing it in.
+                // A departure notice of an unknown replica. Its entry keeps a
+                // late heartbeat from adding the replica.
                 self.add(now, says, state, heard_at, direct);
                 true
             }
@@ -118,8 +123,9 @@
         }
     }
 
-    /// True for what a life that is ready has said before: most of what nodes
-    /// repeat to each other, where there are many replicas.
+    /// Returns true for a ready incarnation's heartbeat that is not newer than
+    /// the known one. With many replicas, most of what nodes repeat to each
+    /// other is of this kind.
     fn says_nothing_new(&self, says: &Sighting) -> bool {
         let found = position(&self.replicas, says.id.as_str(), |one| {
             one.says.id.as_str()
@@ -133,7 +139,8 @@
         })
     }
 
-    /// A goodbye that doesn't tell which life says it is the present one's.
+    /// Assigns a departure notice without a start time to the current
+    /// incarnation.
     fn with_present_life(&self, says: Sighting) -> Sighting {
         if says.born != 0 || State::from_u32(says.state) != State::Gone {
             return says;
@@ -151,13 +158,14 @@
         }
     }
 
-    /// The life that ends when this one speaks, if there is one.
+    /// Returns the incarnation that this heartbeat supersedes, if there is
+    /// one.
     pub fn former_life(&self, says: &Sighting) -> Option<String> {
         self.present_besides(says).map(|one| one.says.id.clone())
     }
 
-    /// What is known of a life since a moment that is not longer ago than
-    /// replicas are remembered.
+    /// Returns what is known of an incarnation since a given time, which must
+    /// not be longer ago than replicas are remembered.
     pub fn fate(&self, life: &str, since: u64) -> Fate {
         let heard = |one: &&Replica| one.heard_at > since;
         let found = position(&self.replicas, life, |one| one.says.id.as_str());
@@ -177,7 +185,7 @@
             .filter(heard)
             .any(follows);
         match own.state {
-            // What it said of itself goes before what came after it.
+            // Its own announcement takes precedence over what was heard later.
             State::Leaving => Fate::Leaves,
             _ if is_followed => Fate::Followed,
             State::Gone => Fate::Leaves,
@@ -187,7 +195,8 @@
         }
     }
 
-    /// Whether a life was heard since a moment, or said that it leaves.
+    /// Returns whether an incarnation was heard since a given time, or
+    /// announced that it leaves.
     pub fn has_spoken(&self, hash: u64, since: u64) -> bool {
         let own = self.replicas.iter().find(|one| one.hash == hash);
         own.is_some_and(|one| {
@@ -195,15 +204,16 @@
         })
     }
 
-    /// When a life was last heard anywhere, if it is known.
+    /// Returns when an incarnation was last heard at any node, if it is known.
     pub fn last_heard(&self, life: &str) -> Option<u64> {
         let found = position(&self.replicas, life, |one| one.says.id.as_str());
         found.ok().map(|at| self.replicas[at].heard_at)
     }
 
-    /// Where the lives of a replica are.
+    /// Returns the positions of a replica's incarnations.
     fn lives_at(&self, replica: &str) -> impl Iterator<Item = usize> + use<> {
-        // A life that never told when it began is called as its replica is.
+        // An incarnation that never reported its start time has the replica's
+        // id.
         let untold =
             position(&self.replicas, replica, |one| one.says.id.as_str());
         let told = format!("{replica}{LIFE}");
@@ -221,11 +231,12 @@
         self.lives_at(replica).map(|at| &self.replicas[at])
     }
 
-    /// True for late word of a life that another one has followed; it was said
-    /// at `said_at`.
+    /// Returns true for a late heartbeat, sent at `said_at`, of an incarnation
+    /// that has been superseded.
     ///
-    /// One that has ended counts again only when the one that ended it has been
-    /// silent for long: then that was late word itself.
+    /// A departed incarnation becomes current again only when the one that
+    /// superseded it has been silent for long, which shows that the heartbeat
+    /// of the latter was the late one.
     fn is_outlived(&self, said_at: u64, says: &Sighting) -> bool {
         let has_ended = self.has_ended(says);
         match self.present_besides(says) {
@@ -244,14 +255,15 @@
             })
     }
 
-    /// The other life of a replica that has not ended; there is one at most,
-    /// as each that speaks ends the others.
+    /// Returns the replica's other incarnation that has not departed. There is
+    /// at most one, because each heartbeat supersedes the other incarnations.
     fn present_besides(&self, says: &Sighting) -> Option<&Replica> {
         self.lives(replica_of(&says.id))
             .find(|one| one.says.born != says.born && one.state != State::Gone)
     }
 
-    /// Lets a life begin anew that was ended by late word of another one.
+    /// Revives an incarnation that was superseded by a late heartbeat of
+    /// another one.
     fn forget_end(&mut self, says: &Sighting) {
         if !self.has_ended(says) {
             return;
@@ -261,10 +273,11 @@
         self.left.retain(|(left, _)| *left != hash);
     }
 
-    /// Ends the other lives of a replica of which one speaks.
+    /// Marks the replica's other incarnations as departed.
     ///
-    /// A replica that crashes and starts again says nothing of it. Its former
-    /// life would be sent requests until it has been silent for seconds.
+    /// A replica that crashes and restarts does not report the crash. Without
+    /// this, requests would be sent to its former incarnation until that has
+    /// been silent for seconds.
     fn end_former_lives(&mut self, now: u64, says: &Sighting) {
         let lives = self.lives_at(replica_of(&says.id));
         for at in lives {
@@ -284,8 +297,8 @@
         position(&self.left, &hash, |(hash, _)| hash).is_ok()
     }
 
-    /// True for a life whose replica has just said goodbye without saying
-    /// which life it was.
+    /// Returns true if a departure notice without a start time has just been
+    /// received for the replica.
     fn said_goodbye(&self, now: u64, says: &Sighting) -> bool {
         if says.born == 0 {
             return false;
@@ -295,13 +308,14 @@
             .is_ok_and(|at| now < self.left[at].1 + GOODBYE_MS)
     }
 
-    /// Takes what is remembered of a replica from before this node started.
+    /// Adds a replica that is remembered from before this node started.
     ///
-    /// After a loss of power to all nodes none of them knows any replica until
-    /// its next heartbeat, and heartbeats reach one node each: requests are
-    /// refused for most of a second although all replicas run. Using what was
-    /// known before is safe, as requests name the replica that they are meant
-    /// for, and another one at its address does not run them.
+    /// After a power loss at all nodes, no node knows any replica until its
+    /// next heartbeat, and each heartbeat reaches one node only. Requests
+    /// would be refused for most of a second although all replicas run. Using
+    /// the remembered replicas is safe, because each request names the replica
+    /// that it is meant for and another replica at its address does not run
+    /// it.
     pub fn remember(&mut self, now: u64, says: Sighting) {
         let known = self.lives(replica_of(&says.id)).next().is_some();
         let hash = replica_hash(&says.id);
@@ -324,7 +338,7 @@
         upsert(&mut self.replicas, replica, |one| one.says.id.as_str());
     }
 
-    /// The replicas that may be used, as they are told to a node that starts.
+    /// Returns the usable replicas, to send to a starting node.
     pub fn usable(&self, now: u64) -> Vec<Sighting> {
         let usable = self.replicas.iter().filter(|replica| {
             replica.state == State::Ready && replica.may_be_used(now)
@@ -332,7 +346,8 @@
         usable.map(|replica| replica.aged(now)).collect()
     }
 
-    /// Notes that a replica has left; true when that is new.
+    /// Records that a replica is leaving or has departed. Returns true if that
+    /// is new.
     pub(super) fn note_left(&mut self, now: u64, hash: u64) -> bool {
         match position(&self.left, &hash, |(hash, _)| hash) {
             Ok(_) => false,
@@ -343,7 +358,8 @@
         }
     }
 
-    /// Takes word of a replica that has left; true when it was ready here.
+    /// Applies another node's report that a replica is leaving or has
+    /// departed. Returns true if the replica was ready here.
     pub(super) fn hear_left(&mut self, now: u64, hash: u64) -> bool {
         if !self.note_left(now, hash) {
             return false;
@@ -360,8 +376,8 @@
         true
     }
 
-    /// Replicas that have left lately, for a datagram; where they are more
-    /// than fit, in turn.
+    /// Returns replicas that have left recently, for a datagram. If they don't
+    /// fit, they take turns.
     pub(super) fn lately_left(&mut self, now: u64) -> Vec<u64> {
         let lately: Vec<u64> = self
             .left
@@ -392,8 +408,9 @@
             since: now,
             left_at: now,
             remembered_until: None,
-            // Whoever heard it directly tells all others. If those did so
-            // too, a node that starts would be told everything by everybody.
+            // Only the node that received the heartbeat directly sends it to
+            // all other nodes. If the others did so too, every node would send
+            // every replica to a node that starts.
             tell,
             tell_whole: tell,
         };
