--- a/src/mesh/mod.rs
+++ b/src/mesh/mod.rs
@@ -1,24 +1,24 @@
-//! How nodes know of each other, of the replicas, and of what all have used.
+//! Spreads information on nodes, replicas and usage between nodes by gossip.
 //!
-//! Nodes that take callers' requests tell each other of themselves over UDP, a
-//! few times a second; where there are many nodes, the others stand by and ask
-//! one of these now and then. Datagrams get lost, and nothing is sent twice for
-//! it: each says how things are, not what has changed, so the next one makes up
-//! for the last.
+//! Nodes that take callers' requests send each other reports over UDP, a few
+//! times a second. With many nodes, the other nodes are on standby and each
+//! regularly asks one of the former. Datagrams may be lost and are not sent
+//! again: each contains the current state and not the changes, so the next one
+//! makes up for a lost one.
 //!
-//! What is urgent (a replica leaves, a node stops) goes out at once, and in
-//! the regular datagrams after that.
+//! Urgent information (a replica leaves, a node stops) is sent at once, and
+//! again in the regular datagrams that follow.
 //!
 //! | module | does |
 //! |---|---|
-//! | [`table`] | what is known of the other nodes, and sums over them |
-//! | [`role`] | which nodes take callers' requests |
-//! | [`round`] | who is told what, and where callers may connect |
-//! | `datagram` | how datagrams are read and written |
-//! | [`lives`], `replica` | what replicas say, one life after the other |
-//! | [`counts`] | requests that began, for usage reports |
+//! | [`table`] | holds what is known of the other nodes, and sums over them |
+//! | [`role`] | decides which nodes take callers' requests |
+//! | [`round`] | chooses recipients, and the nodes that callers connect to |
+//! | `datagram` | reads and writes datagrams |
+//! | [`lives`], `replica` | track the heartbeats of replicas, by incarnation |
+//! | [`counts`] | counts requests that began, for usage reports |
 //!
-//! None of these does I/O; this module does.
+//! None of these modules does I/O; this one does.
 
 pub mod counts;
 mod datagram;
@@ -55,32 +55,33 @@
     wire::{Cached, Crash, Gossip, Peer, RateLimit, Success},
 };
 
-/// Between two datagrams to the same node.
+/// Interval between regular rounds.
 ///
-/// Short enough that a quota overdrawn by all nodes at once is noticed within
-/// a third of a second; ten nodes then get thirty datagrams a second each.
+/// With this interval, a quota that all nodes overdraw at once is noticed
+/// within a third of a second, and each of ten nodes receives thirty datagrams
+/// a second.
 const PERIOD: Duration = Duration::from_millis(300);
-/// Between two urgent rounds, so that many changes share one.
+/// Delay before an urgent round, so that several changes share one.
 const URGENT_PAUSE: Duration = Duration::from_millis(10);
-/// Every so many rounds, nodes that are silent are told too.
+/// Rounds between two greetings of all silent nodes.
 const SILENT_ROUNDS: u64 = 4;
-/// Nodes told everything in one round; at more than that, the rest follow in
-/// turn.
+/// Nodes that receive a full datagram in one round. If there are more nodes,
+/// they take turns.
 const FANOUT: usize = 16;
-/// Nodes told of requests under way in one round. Some forty are active before
-/// three hundred replicas; a datagram of 400 bytes to each takes 0.4 of 10
-/// Mbit/s and a hundredth of a core.
+/// Nodes that receive the requests in flight in one round. About forty nodes
+/// are active with three hundred replicas; a datagram of 400 bytes to each of
+/// them takes 0.4 of 10 Mbit/s and a hundredth of a core.
 const LOAD_FANOUT: usize = 64;
-/// The longest datagram that is read, in bytes.
+/// Maximum length of a received datagram, in bytes.
 const LONGEST: usize = 16 * 1024;
 
-/// How long it takes on average until one of so many nodes knows what
-/// another has just said of anything but its requests under way, in ms.
+/// Returns the mean propagation delay of reports between this number of nodes,
+/// in ms, for everything but requests in flight.
 pub fn mean_lag_ms(nodes: usize) -> f64 {
     lag_ms(nodes, FANOUT)
 }
 
-/// The same for requests under way.
+/// Returns the mean propagation delay of requests in flight, in ms.
 pub fn load_lag_ms(nodes: usize) -> f64 {
     lag_ms(nodes, LOAD_FANOUT)
 }
@@ -90,41 +91,43 @@
     rounds as f64 * PERIOD.as_millis() as f64 / 2.0
 }
 
-/// How to join the mesh.
+/// Configuration of the mesh.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// This node.
     pub me: Peer,
-    /// Where datagrams come in; the port is the same at every node.
+    /// Address on which datagrams are received. All nodes use the same port.
     pub listen: SocketAddrV4,
-    /// Nodes to speak to first.
+    /// Nodes to contact first.
     pub seeds: Vec<Ipv4Addr>,
 }
 
-/// What the mesh needs from the node, and tells it.
+/// Supplies the mesh with the node's report, and receives updates from it.
 pub trait Host: Send + Sync + 'static {
-    /// What goes into the next datagram besides the table.
+    /// Returns what the next datagram contains besides the table.
     fn own(&self) -> Own;
-    /// Another node has sent parts of prompts to replicas.
+    /// Called when another node reports parts of prompts that it has sent to
+    /// replicas.
     fn cached(&self, cached: Vec<Cached>);
-    /// Requests were at replicas that ended, or ended well after that;
-    /// `passes_on` where the node that says so tells nobody else.
+    /// Called with requests that were in flight at replicas that crashed, and
+    /// with requests that succeeded after such crashes. `passes_on` is true if
+    /// the reporting node sends them to no other node.
     fn suspects(
         &self,
         crashes: &[Crash],
         successes: &[Success],
         passes_on: bool,
     );
-    /// Requests were at replicas that have probably ended; `passes_on` as
-    /// for [`Host::suspects`].
+    /// Called with requests that were in flight at suspected crashes.
+    /// `passes_on` is as for [`Host::suspects`].
     fn suspected(&self, crashes: &[Crash], passes_on: bool);
-    /// Another node tells the rates of requests that replicas take.
+    /// Called with the rate limits of replicas that another node reports.
     fn limits(&self, limits: &[RateLimit]);
-    /// Something has changed, or a period has passed.
+    /// Called after a change, and in each regular round.
     fn news(self: Arc<Self>, news: News);
 }
 
-/// A running mesh; clones share it.
+/// Handle to a running mesh. Clones share it.
 #[derive(Clone, Debug)]
 pub struct Handle {
     shared: Arc<Shared>,
@@ -154,11 +157,11 @@
 
 /// Joins the mesh.
 ///
-/// `host` is called with the handle's table unlocked.
+/// Methods of `host` are called while the table is unlocked.
 ///
 /// # Errors
 ///
-/// When the address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn bind(
     options: Options,
     timer: Timer,
@@ -166,7 +169,7 @@
 ) -> io::Result<Handle> {
     let socket = UdpSocket::bind(options.listen).await?;
     let port = options.listen.port();
-    info!(target: "mesh", "Listens on {}.", options.listen);
+    info!(target: "mesh", "Listening for datagrams on {}.", options.listen);
     let shared = Arc::new(Shared {
         table: Mutex::new(Table::open(options.me)),
         seeds: Mutex::new(options.seeds),
@@ -183,24 +186,24 @@
 }
 
 impl Handle {
-    /// The table, locked; never held across an await.
+    /// Returns the locked table. The guard must not be held across an await.
     pub fn table(&self) -> MutexGuard<'_, Table> {
         self.shared.table()
     }
 
-    /// Tells all others at once.
+    /// Starts an urgent round.
     pub fn urge(&self) {
         self.shared.urgent.notify_one();
     }
 
-    /// Takes new seeds, as when the settings have changed.
+    /// Replaces the seeds, for example after a change of settings.
     pub fn set_seeds(&self, seeds: Vec<Ipv4Addr>) {
         *self.shared.seeds.lock().unwrap_or_else(|held| held.into_inner()) =
             seeds;
         self.urge();
     }
 
-    /// Says nothing more and hears nothing more.
+    /// Stops sending and receiving.
     pub fn stop(&self) {
         for task in &self.tasks.0 {
             task.abort();
@@ -213,7 +216,7 @@
         self.table.lock().unwrap_or_else(|held| held.into_inner())
     }
 
-    /// Drops what is old and decides anew which role this node has.
+    /// Drops expired entries and updates the role of this node.
     fn review(&self, begun: u64) -> News {
         let now = self.timer.now();
         let mut table = self.table();
@@ -228,7 +231,7 @@
         info!(
             target: "mesh",
             ?role, ?before, rate, entries, unheard,
-            "Another role."
+            "Role changed."
         );
         self.urgent.notify_one();
         let steps_in = role == Role::Active && before == Role::Standby;
@@ -242,9 +245,10 @@
 
     async fn send(&self, datagram: &[u8], to: Ipv4Addr) {
         let to = SocketAddr::from((to, self.port));
-        // A datagram that can't be sent is as good as one lost on its way.
+        // A datagram that can't be sent is treated like one that is lost on
+        // the network.
         if let Err(error) = self.socket.send_to(datagram, to).await {
-            debug!(target: "mesh", "Can't send to {to}: {error}.");
+            debug!(target: "mesh", "Can't send datagram to {to}: {error}.");
         }
     }
 }
@@ -255,14 +259,15 @@
         let (length, from) = match shared.socket.recv_from(&mut buffer).await {
             Ok(received) => received,
             Err(error) => {
-                // A refused datagram of ours shows up here; the socket lives.
-                debug!(target: "mesh", "Can't receive: {error}.");
+                // A datagram of ours that was refused is reported here as an
+                // error. The socket remains usable.
+                debug!(target: "mesh", "Can't receive datagram: {error}.");
                 sleep(URGENT_PAUSE).await;
                 continue;
             }
         };
         let Ok(mut gossip) = Gossip::decode(&buffer[..length]) else {
-            warn!(target: "mesh", "Unreadable datagram from {from}.");
+            warn!(target: "mesh", "Can't decode datagram from {from}.");
             continue;
         };
         let asked = gossip.from.clone().filter(|_| gossip.hello);
@@ -287,7 +292,8 @@
             host.clone().news(news);
         }
         if let (Some(asked), SocketAddr::V4(from)) = (asked, from) {
-            // Before the table is locked: the host locks things of its own.
+            // Called before the table is locked, because the host takes other
+            // locks.
             let own = host.own();
             let wall_ms = wall_ms() as i64;
             let answer = shared.table().answer(now, wall_ms, own, &asked);
@@ -308,7 +314,8 @@
                 false
             }
         };
-        // Before the table is locked: the host locks things of its own.
+        // Called before the table is locked, because the host takes other
+        // locks.
         let own = host.own();
         if regular {
             round += 1;
