--- a/src/mesh/replica.rs
+++ b/src/mesh/replica.rs
@@ -1,23 +1,23 @@
-//! A replica, as its heartbeats and other nodes tell of it.
+//! State of a replica, from its heartbeats and from reports of other nodes.
 
 use crate::{
     util::common,
     wire::{Beat, Sighting},
 };
 
-/// For so long others may fetch from the cache of a replica that leaves, in
-/// ms: reclaimed ones are gone after two to three seconds.
+/// Time for which other replicas may fetch from the cache of a leaving
+/// replica, in ms. Replicas on reclaimed VMs stop after two to three seconds.
 const FETCHABLE_MS: u64 = 2000;
 
 common! {
     copy
-    /// Whether a replica may be given work.
+    /// Whether a replica may be sent requests.
     pub enum State {
-        /// It may.
+        /// It may be sent requests.
         Ready,
-        /// It finishes what it has.
+        /// It finishes its requests in flight.
         Leaving,
-        /// It said goodbye.
+        /// It has departed.
         Gone,
     }
 }
@@ -35,37 +35,39 @@
 common! {
     /// One incarnation of a replica.
     pub struct Replica {
-        /// What it says of itself, as it goes over the wire.
+        /// Its last heartbeat, in wire format.
         pub says: Sighting,
-        /// Whether it may be given work.
+        /// Whether it may be sent requests.
         pub state: State,
-        /// When its last heartbeat came in anywhere, by this node's clock.
+        /// When its last heartbeat was received at any node, by this node's
+        /// clock.
         pub heard_at: u64,
-        /// When it was first seen here.
+        /// When this node first learnt of it.
         pub since: u64,
-        /// When it was first seen leaving.
+        /// When this node first learnt that it was leaving.
         pub left_at: u64,
-        /// Not heard since this node started; until when it is used all the
-        /// same.
+        /// Set if it has not been heard since this node started: the time
+        /// until which it is used all the same.
         pub remembered_until: Option<u64>,
-        /// In so many more datagrams it is told first: its heartbeats come in
-        /// here, or its state has changed.
+        /// Number of datagrams that still include it first, because this node
+        /// receives its heartbeats or because its state has changed.
         pub(super) tell: u32,
-        /// In so many of these it is told whole, as others may not know it.
+        /// Number of these that include all its fields, because other nodes
+        /// may not know them.
         pub(super) tell_whole: u32,
-        /// The hash of its id.
+        /// Hash of its id.
         pub(super) hash: u64,
     }
 }
 
 impl Replica {
-    /// The number that stands for it between nodes.
+    /// Returns the number that identifies it between nodes.
     pub fn hash(&self) -> u64 {
         self.hash
     }
 
-    /// True for one that takes requests, and for one that is leaving while
-    /// others can still fetch from its cache.
+    /// Returns true if it takes requests, or if it is leaving and other
+    /// replicas can still fetch from its cache.
     pub fn may_be_used(&self, now: u64) -> bool {
         if self.remembered_until.is_some_and(|until| now >= until) {
             return false;
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Takes a newer statement; true when its state has changed.
+    /// Applies a heartbeat. Returns true if the state has changed.
     pub(super) fn renew(
         &mut self,
         says: Sighting,
@@ -110,7 +112,8 @@
         moved
     }
 
-    /// True where more is new than that it is still there.
+    /// Returns true if anything but the sequence number and the state has
+    /// changed.
     fn differs(&self, says: &Sighting) -> bool {
         let known = &self.says;
         known.ip != says.ip
@@ -121,7 +124,7 @@
             || known.leaves_ms != says.leaves_ms
     }
 
-    /// Takes a heartbeat that was passed on.
+    /// Applies a relayed heartbeat.
     pub(super) fn beat(&mut self, now: u64, beat: &Beat, direct: bool) {
         if beat.sequence <= self.says.sequence || self.state != State::Ready {
             return;
@@ -135,7 +138,7 @@
         }
     }
 
-    /// Its last heartbeat, as it is told to others now.
+    /// Returns its last heartbeat with the present age.
     pub(super) fn last_beat(&self, now: u64) -> Beat {
         Beat {
             replica: self.hash,
@@ -144,7 +147,7 @@
         }
     }
 
-    /// As it is told to others now.
+    /// Returns its fields for other nodes, with the present age.
     pub(super) fn aged(&self, now: u64) -> Sighting {
         let age = now.saturating_sub(self.heard_at);
         let remembered = self.remembered_until.is_some();
