--- a/src/mesh/role.rs
+++ b/src/mesh/role.rs
@@ -1,60 +1,64 @@
-//! Which nodes take callers' requests, and which stand by.
+//! Decides which nodes take callers' requests and which are on standby.
 //!
-//! Choosing a replica is as good as what a node knows of the other nodes'
-//! requests. That takes longer the more of them there are: three hundred nodes
-//! that each choose for four requests a second know of each other three seconds
-//! late on average, forty that choose for thirty do in a third of a second. So callers are
-//! sent to a few nodes of their own data centre, as many as its requests need.
-//! The others stand by: they know who is active, and take over when too few
-//! are.
+//! The choice of a replica is as good as the node's knowledge of the requests
+//! of other nodes. The propagation delay of that knowledge grows with the
+//! number of nodes: three hundred nodes that each route four requests a second
+//! learn of each other's requests after three seconds on average, forty nodes
+//! that each route thirty do so after a third of a second. Callers are
+//! therefore sent to a few nodes of their own data centre, as many as its
+//! requests need. The other nodes are on standby: they know the active nodes,
+//! and become active when there are too few.
 //!
-//! Nobody decides for another node. Each compares itself with those that it
-//! hears, by an order that all find alike, and says what it is. Where nodes
-//! know different things for a while there are some too many or too few
-//! active ones; both mend themselves, and each node serves whoever asks it.
+//! There is no coordinator. Each node compares itself with the nodes that it
+//! hears, by an order that is the same at every node, and announces its own
+//! role. While nodes have different information there may be too many or too
+//! few active nodes; both cases correct themselves, and each node serves every
+//! caller that connects to it.
 //!
-//! | role | is handed out | tells and hears load | becomes |
+//! | role | handed out to callers | exchanges load | next role |
 //! |---|---|---|---|
-//! | active | yes | yes | draining, after 3 s among too many |
+//! | active | yes | yes | draining, after 3 s with too many active nodes |
 //! | draining | no | yes, as callers keep addresses | standby after 10 s, at once if it has had no requests |
 //! | standby | no | no | active, while there are too few |
 //!
-//! VMs with a disk come last in the order: what a fault does to the replicated
-//! log then does nothing to callers, where there are enough other nodes.
+//! VMs with a disk come last in the order. A fault of the replicated log then
+//! does not affect callers, provided that there are enough other nodes.
 
 use crate::{util::common, wire::Peer};
 
-/// Addresses that callers are given at most; an answer has no room for more.
+/// Maximum number of addresses in an answer to a caller; an answer has no room
+/// for more.
 pub const ADDRESSES: usize = 64;
-/// Up to so many nodes all are active: they hear each other in two rounds, and
-/// each that is lost would otherwise leave few.
+/// Number of nodes up to which all are active. They hear each other within two
+/// rounds, and with fewer active nodes each loss would leave few.
 const ALL_ACTIVE: usize = 24;
-/// Active nodes that there are at least, over all data centres: one that is
-/// lost then takes three in a hundred requests under way with it.
+/// Minimum number of active nodes over all data centres. The loss of one node
+/// then affects three in a hundred requests in flight.
 const LEAST: usize = 32;
-/// Requests each second that are planned for one node: with bodies of 10 KB
-/// that is 3 of 10 Mbit/s each way, and 0.04 of a core where VMs have 0.12. A
-/// rush of twice that is borne until more nodes have become active.
+/// Requests each second that are planned for one node. With bodies of 10 KB
+/// that takes 3 of 10 Mbit/s each way, and 0.04 of a core on VMs that have
+/// 0.12. A node can take twice that rate until more nodes have become active.
 const REQUESTS: u32 = 40;
-/// How long there have to be too many active nodes before one steps back, in
-/// ms: nodes that have just started know few of the others.
+/// Time with too many active nodes before one of them stops being active, in
+/// ms. Nodes that have just started know few of the others.
 const EXCESS_MS: u64 = 3000;
-/// How long a node still takes part after it has stepped back, in ms: callers
-/// keep an address for three times as long as they are told, and their
-/// requests take some seconds.
+/// Time for which a node drains, in ms. Callers keep an address for three
+/// times as long as they are told, and their requests take some seconds.
 pub(super) const DRAIN_MS: u64 = 10_000;
-/// How long there have to be too few before the first standby steps in, in
-/// ms: it is told of the others each 0.6 s, and one answer may be lost.
+/// Time with too few active nodes before the first standby node becomes
+/// active, in ms. It receives reports of the others every 0.6 s, and one
+/// answer may be lost.
 const MISSING_MS: u64 = 900;
-/// In this time the part of the standbys that may step in doubles, in ms: how
-/// long word of the first one takes to reach the others.
+/// Time in which the share of standby nodes that may become active doubles, in
+/// ms. It is the propagation delay of the first one's report to the others.
 const STEP_MS: u64 = 300;
-/// The part of the standbys that step in at once for each that is missing.
+/// Share of the standby nodes that become active at once for each missing
+/// node.
 const FIRST_PART: f64 = 1.0 / 64.0;
-/// Over which a rising rate of requests is averaged, in ms.
+/// Time constant of the average of a rising request rate, in ms.
 const RISE_MS: f64 = 1000.0;
-/// Over which a falling one is, in ms: as many nodes as the last peak needed
-/// stay for the next one.
+/// Time constant of the average of a falling request rate, in ms. It keeps as
+/// many nodes as the last peak needed for the next one.
 const FALL_MS: f64 = 20_000.0;
 
 common! {
@@ -63,15 +67,15 @@
     pub enum Role {
         /// Callers are sent to it.
         Active,
-        /// Callers are no longer sent to it, and some still come.
+        /// Callers are no longer sent to it, but some still connect.
         Draining,
-        /// It takes over when too few are active.
+        /// It becomes active when there are too few active nodes.
         Standby,
     }
 }
 
 impl Role {
-    /// The role that a node states.
+    /// Returns the role that a node announces.
     pub fn of(says: &Peer) -> Role {
         match says.role {
             0 => Role::Active,
@@ -80,28 +84,28 @@
         }
     }
 
-    /// True for nodes that tell each other of their load: all that may have
-    /// requests, and those that can lead.
+    /// Returns true for members, which exchange reports of their load: all
+    /// nodes that may have requests, and those that can lead.
     pub fn is_member(says: &Peer) -> bool {
         says.has_disk || Role::of(says) != Role::Standby
     }
 }
 
-/// What a node goes by, as far as it knows.
+/// What a node knows when it decides on its role.
 #[derive(Clone, Debug, Default)]
 pub struct View<'a> {
-    /// Active nodes of its data centre that are heard, without itself.
+    /// Other active nodes of its data centre that it hears.
     pub near: Vec<&'a Peer>,
-    /// Requests each second in its data centre, with its own.
+    /// Requests each second in its data centre, including its own.
     pub rate: u32,
-    /// Nodes that serve, with itself.
+    /// Number of nodes that serve, including itself.
     pub serving: usize,
-    /// Data centres that there are nodes in.
+    /// Number of data centres that have nodes.
     pub data_centres: usize,
 }
 
 impl View<'_> {
-    /// How many nodes of the data centre should be active.
+    /// Returns how many nodes of the data centre should be active.
     fn wanted(&self) -> usize {
         if self.serving <= ALL_ACTIVE {
             return usize::MAX;
@@ -111,20 +115,20 @@
     }
 }
 
-/// One node's role, and since when it should be another.
+/// The role of one node, with the times that decide on its next one.
 #[derive(Clone, Copy, Debug)]
 pub struct Keeper {
     role: Role,
-    /// Too many are active since then, and this one is among those.
+    /// Since when there are too many active nodes and this one is in excess.
     excess_since: Option<u64>,
-    /// Too few are active since then.
+    /// Since when there are too few active nodes.
     missing_since: Option<u64>,
-    /// When this one stepped back.
+    /// When this node began to drain.
     drains_since: u64,
 }
 
 impl Keeper {
-    /// Starts active, as nobody else is known yet.
+    /// Starts as active, because no other node is known yet.
     pub fn open() -> Keeper {
         Keeper {
             role: Role::Active,
@@ -134,7 +138,7 @@
         }
     }
 
-    /// Decides anew.
+    /// Updates and returns the role.
     pub fn review(&mut self, now: u64, me: &Peer, view: &View<'_>) -> Role {
         let wanted = view.wanted();
         self.role = match self.role {
@@ -165,18 +169,20 @@
         self.excess_since = None;
         self.missing_since = None;
         self.drains_since = now;
-        // Whoever has had no request has none to drain. When all start at the
-        // same time, hundreds would else tell each other of no load.
+        // A node without requests has none to drain. Without this, hundreds of
+        // nodes that start at the same time would send each other reports of
+        // no load.
         match me.rate {
             0 => Role::Standby,
             _ => Role::Draining,
         }
     }
 
-    /// Standbys don't know each other, so each draws its place from its
-    /// address: a small part of them steps in at once, twice as many with each
-    /// step, until there are enough. Without that all standbys of a data
-    /// centre would become active for one that was lost.
+    /// Standby nodes don't know each other, so each derives a position from
+    /// its address. A small share of them becomes active at once, and the
+    /// share doubles with each step until there are enough active nodes.
+    /// Without that, all standby nodes of a data centre would become active
+    /// for one lost node.
     fn wait_or_step_in(
         &mut self,
         now: u64,
@@ -190,7 +196,7 @@
             return self.drain_on(now);
         }
         let since = *self.missing_since.get_or_insert(now);
-        // One that is only unheard for a moment is not replaced.
+        // A node that is not heard for a moment only is not replaced.
         if now < since + MISSING_MS {
             return self.drain_on(now);
         }
@@ -213,19 +219,21 @@
     }
 }
 
-/// The order in which nodes of a data centre become active.
+/// Returns the position in the order in which nodes of a data centre become
+/// active.
 fn rank(says: &Peer) -> (bool, u64) {
     (says.has_disk, crate::util::mix(u64::from(says.ip)))
 }
 
-/// A standby's place from 0 to 1 among those that step in. Not by its rank:
-/// the first by rank are active already, so their places would all be taken.
+/// Returns a standby node's position among those that may become active, from
+/// 0 to 1. It does not depend on the rank: the first nodes by rank are active
+/// already, so the low positions would all be taken.
 fn place(says: &Peer) -> f64 {
     let drawn = crate::util::mix(!u64::from(says.ip));
     drawn as f64 / u64::MAX as f64
 }
 
-/// Callers' requests each second, on average.
+/// Moving average of callers' requests each second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rate {
     begun: u64,
@@ -234,7 +242,7 @@
 }
 
 impl Rate {
-    /// Takes the running total; returns the average, rounded up.
+    /// Adds the running total of requests. Returns the average, rounded up.
     pub fn note(&mut self, now: u64, begun: u64) -> u32 {
         let passed = now.saturating_sub(self.at) as f64;
         if passed <= 0.0 {
@@ -244,7 +252,7 @@
         let over = if new > self.mean { RISE_MS } else { FALL_MS };
         self.mean += (new - self.mean) * (1.0 - (-passed / over).exp());
         (self.begun, self.at) = (begun, now);
-        // Less than one request in a few seconds is no load.
+        // Less than one request in a few seconds counts as no load.
         (self.mean - 0.1).max(0.0).ceil() as u32
     }
 }
