--- a/src/mesh/round.rs
+++ b/src/mesh/round.rs
@@ -1,4 +1,4 @@
-//! Who is told what in a round, apart from I/O.
+//! Chooses the datagrams of a round and their recipients, without I/O.
 
 use std::net::Ipv4Addr;
 
@@ -15,52 +15,55 @@
     wire::{Gossip, Peer},
 };
 
-/// Every so many rounds a node that stands by asks another one.
+/// Rounds between two requests of a standby node to other nodes.
 const STANDBY_ROUNDS: u64 = 2;
-/// Up to so many silent nodes are greeted in each round, more of them only each
-/// [`SILENT_ROUNDS`].
+/// Number of silent nodes up to which they are greeted in each round. If there
+/// are more, they are greeted only every [`SILENT_ROUNDS`].
 const FEW_SILENT: usize = 3;
-/// Silent nodes that are greeted at a time: as many as are told in a round.
+/// Silent nodes that are greeted at a time: as many as receive a full datagram
+/// in a round.
 const GREETED: usize = FANOUT;
-/// A node that stands by and hears so many others needs no seeds.
+/// Number of heard nodes from which a standby node does not greet seeds.
 const ENOUGH_HEARD: usize = 4;
-/// Nodes that stand by are told what is urgent if they were heard within this
-/// time, in ms: each asks another node each 0.6 s.
+/// Time since the last report of a standby node within which it receives
+/// urgent datagrams, in ms. Each standby node asks another node every 0.6 s.
 const STANDBY_MS: u64 = 10_000;
-/// Nodes that stand by and are told what is urgent by one other: some forty
-/// tell them, so that most of three hundred are told once.
+/// Standby nodes that receive an urgent datagram from one node. About forty
+/// nodes send it, so that most of three hundred receive it once.
 const URGENT_STANDBYS: usize = 8;
-/// Up to so many active nodes, callers are sent to all of them wherever they
-/// are: each is a large part of what there is.
+/// Number of active nodes up to which callers are sent to all of them, in any
+/// data centre, because each is a large part of the capacity.
 const FEW: usize = 24;
-/// Active nodes that a data centre has to have for its callers to be sent to
-/// no other: with fewer, one that dies leaves too much to the others.
+/// Minimum number of active nodes in a data centre for its callers to be sent
+/// to no other one. With fewer, the loss of one leaves too much load to the
+/// rest.
 const LEAST_NEAR: usize = 4;
 
-/// When a round takes place, and why.
+/// Time and kind of a round.
 #[derive(Clone, Copy, Debug)]
 pub struct Round {
     /// This node's clock, in ms.
     pub now: u64,
-    /// Its time of day, in ms since 1970.
+    /// This node's wall-clock time, in ms since 1970.
     pub wall_ms: i64,
-    /// Counts the regular rounds.
+    /// Number of the last regular round.
     pub number: u64,
-    /// Between two regular ones, as something must be known everywhere.
+    /// Set for a round between two regular ones that spreads urgent
+    /// information.
     pub is_urgent: bool,
 }
 
-/// A datagram and those that it goes to.
+/// A datagram and its recipients.
 #[derive(Clone, Debug)]
 pub struct Sending {
-    /// Where it goes.
+    /// Addresses of the recipients.
     pub to: Vec<Ipv4Addr>,
-    /// What it says.
+    /// Content of the datagram.
     pub gossip: Gossip,
 }
 
 impl Table {
-    /// The datagrams of one round.
+    /// Returns the datagrams of one round.
     pub fn round(
         &mut self,
         round: Round,
@@ -80,11 +83,12 @@
         sendings
     }
 
-    /// Tells some of the nodes that tell each other of their load everything,
-    /// in turn, and the others where requests are under way.
+    /// Sends a full datagram to some of the members, in turn, and only the
+    /// requests in flight to the others.
     ///
-    /// That is a tenth of the bytes, and what routing goes by: word that is
-    /// 0.5 s old instead of 0.15 sends forty nodes to the same idle replicas.
+    /// The latter takes a tenth of the bytes and contains what routing depends
+    /// on: with reports that are 0.5 s old instead of 0.15 s, forty nodes send
+    /// requests to the same idle replicas.
     fn round_of_member(&mut self, round: Round, own: Own) -> Vec<Sending> {
         let gossip = self.compose(round.now, round.wall_ms, own);
         let mut to = ips(self.members(round.now));
@@ -107,9 +111,10 @@
         sendings
     }
 
-    /// Counts of usage are half of a datagram where there are many teams. Only
-    /// nodes that can lead need them; one other node in turn gets them as
-    /// well, so that they outlast the loss of all that can lead.
+    /// Sends the counts of usage to some of the recipients only, because they
+    /// are half of a datagram where there are many teams. Only nodes that can
+    /// lead need them. One other node in turn receives them too, so that they
+    /// survive the loss of all nodes that can lead.
     fn with_usage_for_some(
         &self,
         round: Round,
@@ -130,8 +135,8 @@
         vec![Sending { to: whole, gossip }, Sending { to: part, gossip: slim }]
     }
 
-    /// What is urgent goes to all that have requests at once, also where many
-    /// take turns, and to some that stand by.
+    /// Sends urgent information at once to all members, also where regular
+    /// datagrams take turns, and to some standby nodes.
     fn urgent_of_member(&mut self, round: Round, own: Own) -> Vec<Sending> {
         let to = ips(self.members(round.now));
         if to.len() <= FANOUT {
@@ -152,7 +157,8 @@
         ]
     }
 
-    /// Each second round asks one node, in the own data centre if it can be.
+    /// Asks one node every second round, in this node's data centre if
+    /// possible.
     fn round_of_standby(&mut self, round: Round, own: Own) -> Vec<Sending> {
         let me = u64::from(self.own().ip);
         if !(round.number + me).is_multiple_of(STANDBY_ROUNDS) {
@@ -185,27 +191,28 @@
         sendings
     }
 
-    /// Replicas that are new or leave have to be known to all that have
-    /// requests, whoever they told; and that this node stands by from now on,
-    /// as the others would take its silence for a fault.
+    /// Sends new and leaving replicas to all members, because these need to
+    /// know them whichever node received the heartbeat. Also sends that this
+    /// node is on standby from now on, because the other nodes would take its
+    /// silence for a fault.
     fn urgent_of_standby(&mut self, round: Round) -> Vec<Sending> {
         let gossip = self.compose_urgent(round.now, round.wall_ms);
         let has_new_role = std::mem::take(&mut self.has_new_role);
         if gossip.replicas.is_empty() && !has_new_role {
             return Vec::new();
         }
-        // All that are known, whether heard at the moment or not: where
-        // hundreds have just started, each hears a part of them.
+        // All known members, whether heard at the moment or not: where
+        // hundreds of nodes have just started, each hears a part of them.
         let known = self.nodes().iter();
         let to = ips(known.filter(|node| Role::is_member(&node.says)));
         vec![Sending { to, gossip }]
     }
 
-    /// Asks nodes that are not heard, and seeds, whether they are there.
+    /// Greets silent nodes and seeds, which answer if they run.
     ///
-    /// A few at a time: asked all at once, three hundred nodes that had lost
-    /// sight of each other would answer each other with more than their links
-    /// bear, and so lose sight of each other.
+    /// A few nodes are greeted at a time. If three hundred nodes that had lost
+    /// contact greeted each other all at once, the answers would exceed the
+    /// capacity of their links, and so they would lose contact again.
     fn greet(&mut self, round: Round, seeds: &[Ipv4Addr]) -> Option<Sending> {
         let mut silent = self.silent(round.now, seeds);
         let is_due = round.number % SILENT_ROUNDS == 1;
@@ -226,8 +233,8 @@
         Some(Sending { to: silent, gossip })
     }
 
-    /// Nodes that should be heard and are not, and seeds. Who stands by is
-    /// not greeted: it asks itself.
+    /// Returns nodes that should be heard and are not, and seeds. Standby
+    /// nodes are not greeted, because they ask other nodes themselves.
     fn silent(&self, now: u64, seeds: &[Ipv4Addr]) -> Vec<Ipv4Addr> {
         let live = ips(self.live(now));
         if !self.is_member() && live.len() >= ENOUGH_HEARD {
@@ -246,7 +253,7 @@
         silent
     }
 
-    /// Some of the nodes that stand by and were heard lately, in turn.
+    /// Returns some of the standby nodes that were heard recently, in turn.
     fn next_standbys(&mut self, now: u64) -> Vec<Ipv4Addr> {
         let standbys = self.nodes().iter().filter(|node| {
             !Role::is_member(&node.says) && now < node.heard_at + STANDBY_MS
@@ -260,8 +267,9 @@
             .collect()
     }
 
-    /// Where callers in a data centre may connect: active nodes there, or any
-    /// where too few are. Where there are few nodes, all of them.
+    /// Returns the nodes that callers in a data centre may connect to: the
+    /// active nodes there, or those of all data centres if too few are there
+    /// or there are few active nodes in all.
     pub fn handed_out(&self, now: u64, near: Option<&str>) -> Vec<Ipv4Addr> {
         let own = self.is_active().then_some((self.own().ip, self.own()));
         let others = self.live(now).filter(|node| node.is_active());
@@ -277,14 +285,15 @@
             }
         }
         if all.len() > ADDRESSES {
-            // Each asker gets others, so that all have their part.
+            // A random sample for each caller, so that all nodes get their
+            // share.
             let mut rng = rand::rng();
             all = all.sample(&mut rng, ADDRESSES).copied().collect();
         }
         all.into_iter().map(|(ip, _)| ip.into()).collect()
     }
 
-    /// Nodes that can lead: only they make reports of usage.
+    /// Returns the nodes that can lead, which alone make usage reports.
     fn disks(&self, now: u64) -> Vec<Ipv4Addr> {
         ips(self.live(now).filter(|node| node.says.has_disk))
     }
