--- a/src/mesh/table.rs
+++ b/src/mesh/table.rs
@@ -1,15 +1,15 @@
-//! What a node knows of the other nodes and of the replicas, apart from I/O.
+//! Holds what a node knows of other nodes and of replicas, without I/O.
 //!
-//! Every statement carries a counter of the one who makes it: a node's `beat`
-//! or a replica's `sequence`. A statement with a lower counter is old and
-//! changes nothing, however late it comes and whoever passes it on.
+//! Every report has a counter of its originator: a node's `beat` or a
+//! replica's `sequence`. A report with a lower counter is outdated and changes
+//! nothing, however late it arrives and whichever node relays it.
 //!
-//! That a replica leaves is the one thing that all nodes must know within a
-//! second or two. So it goes into every datagram for a while, in eight bytes:
-//! when a data centre is reclaimed, dozens leave at once.
+//! All nodes need to know within a second or two that a replica leaves. This
+//! is therefore part of every datagram for a while, in eight bytes a replica:
+//! when a data centre is reclaimed, dozens of replicas leave at once.
 //!
-//! What replicas say is taken in `lives`, datagrams are read and written in
-//! `datagram`.
+//! `lives` handles the heartbeats of replicas, `datagram` reads and writes
+//! datagrams.
 
 use std::net::Ipv4Addr;
 
@@ -30,41 +30,43 @@
     },
 };
 
-/// A node that was not heard for this long is not handed out, in ms.
+/// Time without reports after which a node is not live and is no longer handed
+/// out, in ms.
 ///
-/// Six times the pause between two datagrams: several in a row may be lost.
+/// It is six times the interval between two datagrams, because several in a
+/// row may be lost.
 pub const LIVE_MS: u64 = 1800;
-/// The same at a node that stands by, in ms: it is told of the others each 0.6
-/// s, of which several in a row may be lost.
+/// The same time on a standby node, in ms. It receives reports of the others
+/// every 0.6 s, and several in a row may be lost.
 const LIVE_FOR_STANDBY_MS: u64 = 3000;
-/// A node that stands by and was not heard for so long is silent, in ms: it
-/// asks one of a dozen others each 0.6 s.
+/// Time without reports after which a standby node counts as silent, in ms. It
+/// asks one of a dozen other nodes every 0.6 s.
 const SILENT_STANDBY_MS: u64 = 20_000;
-/// A node that was not heard directly for so many of its turns, and
-/// [`LIVE_MS`], may well serve unheard behind a cut: two datagrams in a row
-/// were lost, or it is.
+/// Number of turns, and at least [`LIVE_MS`], without a datagram from a node
+/// after which it may be serving behind a network partition: either two
+/// datagrams in a row were lost, or it is.
 const UNHEARD_TURNS: f64 = 3.2;
-/// What a node that stands by takes from others' clocks is so old at most, in
-/// ms: it hears one of them each 0.6 s.
+/// Maximum age of another node's clock reading on a standby node, in ms. It
+/// hears one node every 0.6 s.
 const CLOCKS_FOR_STANDBY_MS: u64 = 10_000;
-/// A node that was not heard for this long is forgotten, in ms.
+/// Time without reports after which a node is dropped, in ms.
 ///
-/// Until then it is thought to serve behind a cut and to use its part of
-/// every quota there.
+/// Until then it is assumed to serve behind a network partition, and to use
+/// its share of every quota there.
 pub const FORGET_NODE_MS: u64 = 60_000;
 
 common! {
     /// Another node.
     pub struct Node {
-        /// What it says of itself.
+        /// Its last report of itself.
         pub says: Peer,
-        /// When it last said something, by this node's clock.
+        /// When it sent its last known report, by this node's clock.
         pub heard_at: u64,
-        /// When it was last heard directly, not through others.
+        /// When it was last heard directly, not through other nodes.
         pub direct_at: u64,
-        /// When it was first known.
+        /// When this node first learnt of it.
         pub(super) since: u64,
-        /// Its requests under way, by replica.
+        /// Its requests in flight, by replica.
         pub(super) under: Vec<Under>,
         /// Its tokens admitted since its start, by team.
         pub(super) spent: Vec<Spent>,
@@ -77,7 +79,7 @@
     }
 }
 
-/// The whole of it.
+/// All that a node knows of other nodes and of replicas.
 #[derive(Debug)]
 pub struct Table {
     pub(super) me: Peer,
@@ -85,10 +87,10 @@
     pub(super) replicas: Vec<Replica>,
     /// Requests that began at each node.
     pub(super) counts: Counts,
-    /// Replicas that have left, by the hash of their ids, and when that was
-    /// first known here; sorted.
+    /// Leaving and departed replicas, by the hash of their ids, and when this
+    /// node first learnt of it. Sorted by hash.
     pub(super) left: Vec<(u64, u64)>,
-    /// This node's work, as last told to the others.
+    /// This node's work, as last reported to the others.
     pub(super) own_work: Vec<Work>,
     pub(super) next_peer: usize,
     pub(super) next_replica: usize,
@@ -96,52 +98,52 @@
     pub(super) next_near: usize,
     pub(super) next_standby: usize,
     pub(super) next_silent: usize,
-    /// How often this node has told its load.
+    /// Number of reports of its load that this node has sent.
     pub(super) told: u64,
     keeper: Keeper,
     rate: Rate,
-    /// The others have not been told of this node's role yet.
+    /// Set while other nodes have not been notified of this node's new role.
     pub(super) has_new_role: bool,
 }
 
-/// What this node adds to its datagrams from elsewhere.
+/// What the node adds to its datagrams from outside the table.
 #[derive(Clone, Debug, Default)]
 pub struct Own {
-    /// Requests under way, by replica.
+    /// Requests in flight, by replica.
     pub under: Vec<Under>,
     /// Tokens admitted since the start, by team.
     pub spent: Vec<Spent>,
     /// The work of the requests sent since the start, by service.
     pub work: Vec<Work>,
-    /// Parts of prompts that replicas have been sent lately.
+    /// Parts of prompts that have been sent to replicas recently.
     pub cached: Vec<Cached>,
-    /// Requests at replicas that ended.
+    /// Requests in flight at replicas that crashed.
     pub crashes: Vec<Crash>,
-    /// The same where it is not certain that the replica has ended.
+    /// Requests in flight at suspected crashes.
     pub suspected: Vec<Crash>,
-    /// Requests that have ended well after such crashes.
+    /// Requests that succeeded after such crashes.
     pub successes: Vec<Success>,
-    /// The rates of requests that replicas take.
+    /// Rate limits that replicas have announced.
     pub limits: Vec<RateLimit>,
     /// Callers' requests since the start.
     pub begun: u64,
 }
 
-/// What a datagram changed.
+/// What has changed through a datagram or a new role.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct News {
     /// A replica appeared, or changed its state.
     pub replicas: bool,
-    /// One of them takes no more work.
+    /// One of these replicas takes no more requests.
     pub leaves: bool,
-    /// A node appeared.
+    /// A node appeared or restarted.
     pub nodes: bool,
-    /// This node stood by, and callers are sent to it from now on.
+    /// This node was on standby and has become active.
     pub steps_in: bool,
 }
 
 impl Table {
-    /// Starts with nobody else.
+    /// Starts without other nodes or replicas.
     pub fn open(me: Peer) -> Table {
         Table {
             me,
@@ -163,37 +165,38 @@
         }
     }
 
-    /// What this node says of itself; the caller changes it in place.
+    /// Returns this node's report of itself, to be changed in place.
     pub fn me(&mut self) -> &mut Peer {
         &mut self.me
     }
 
-    /// This node's own statement.
+    /// Returns this node's report of itself.
     pub fn own(&self) -> &Peer {
         &self.me
     }
 
-    /// All other nodes that are remembered, sorted by address.
+    /// Returns all other nodes that are remembered, sorted by address.
     pub fn nodes(&self) -> &[Node] {
         &self.nodes
     }
 
-    /// Other nodes that were heard lately.
+    /// Returns the other nodes that were heard recently.
     pub fn live(&self, now: u64) -> impl Iterator<Item = &Node> {
         self.nodes.iter().filter(move |node| self.is_live(now, node))
     }
 
-    /// Those of them that tell each other of their load.
+    /// Returns the live nodes that exchange reports of their load.
     pub fn members(&self, now: u64) -> impl Iterator<Item = &Node> {
         self.live(now).filter(|node| Role::is_member(&node.says))
     }
 
-    /// How many nodes serve, whatever their role, this one too.
+    /// Returns the number of nodes that serve, in any role, including this
+    /// one.
     pub fn serving(&self) -> usize {
         self.nodes.iter().filter(|node| node.says.serving).count() + 1
     }
 
-    /// How many others have callers' requests now.
+    /// Returns the number of other live nodes that may have callers' requests.
     pub fn entries(&self, now: u64) -> usize {
         self.live(now).filter(|node| node.is_entry(now)).count()
     }
@@ -208,19 +211,18 @@
 
     // ---- Roles ------------------------------------------------------------
 
-    /// True where this node tells others of its load, and they tell it.
+    /// Returns true if this node exchanges reports of its load with others.
     pub fn is_member(&self) -> bool {
         Role::is_member(&self.me)
     }
 
-    /// True where callers are sent to this node.
+    /// Returns true if callers are sent to this node.
     pub fn is_active(&self) -> bool {
         self.me.serving && Role::of(&self.me) == Role::Active
     }
 
-    /// Decides anew whether this node takes callers' requests, of which it
-    /// has had `begun` since its start; tells the role that it had if it has
-    /// another one now.
+    /// Updates this node's role, given the number of callers' requests `begun`
+    /// since its start. Returns the former role if it has changed.
     pub fn review(&mut self, now: u64, begun: u64) -> Option<Role> {
         self.me.rate = self.rate.note(now, begun);
         let before = Role::of(&self.me);
@@ -256,9 +258,9 @@
         let role = keeper.review(now, &self.me, &view);
         self.keeper = keeper;
         if (before, role) == (Role::Standby, Role::Active) {
-            // What it was told of the others is old: many have stepped back
-            // since, and would count as cut off. Those that have requests tell
-            // it so within a round.
+            // The known reports of other nodes are old: many of these nodes
+            // have stopped being active since, and would count as cut off.
+            // Nodes that have requests report to this node within a round.
             let since = now.saturating_sub(LIVE_MS / 2);
             self.nodes.retain(|node| node.heard_at >= since);
         }
@@ -267,14 +269,14 @@
         (role != before).then_some(before)
     }
 
-    /// All replicas, also those that have left, sorted by id.
+    /// Returns all replicas, including those that have departed, sorted by id.
     pub fn replicas(&self) -> &[Replica] {
         &self.replicas
     }
 
     // ---- Sums -------------------------------------------------------------
 
-    /// Requests of other live nodes under way at each replica.
+    /// Returns the requests in flight of other live nodes at each replica.
     pub fn loads(&self, now: u64) -> Loads {
         let mut sums: Vec<Under> =
             self.live(now).flat_map(|node| &node.under).copied().collect();
@@ -290,8 +292,8 @@
         Loads { sums }
     }
 
-    /// The work that each node has sent to a service since its start, in ms
-    /// of one replica, with the node's incarnation.
+    /// Returns the work that each node has sent to a service since its start,
+    /// in ms of one replica, with the node's incarnation.
     pub fn work(&self, service: u64) -> Vec<(u64, u64)> {
         let others = self
             .nodes
@@ -307,8 +309,9 @@
             .collect()
     }
 
-    /// Tokens that each other node has admitted since its start, by team: the
-    /// node's incarnation, the tokens, and whether it is heard now.
+    /// Returns the tokens that each other node has admitted since its start,
+    /// by team: the node's incarnation, the tokens, and whether it is heard
+    /// now.
     pub fn spent(
         &self,
         now: u64,
@@ -320,9 +323,9 @@
         })
     }
 
-    /// How many nodes that take callers' requests go before this one in what
-    /// one of them has to do first: an order for each `subject`, which all find
-    /// alike that hear each other.
+    /// Returns how many nodes that take callers' requests precede this one in
+    /// the order for `subject`, where one node has to act first. Nodes that
+    /// hear each other find the same order.
     pub fn rank(&self, now: u64, subject: u64) -> usize {
         let place = |ip: u32| mix(subject ^ mix(ip.into()));
         let own = place(self.me.ip);
@@ -330,10 +333,11 @@
         others.filter(|node| place(node.says.ip) < own).count()
     }
 
-    /// This node's place in the order of the active nodes for `subject`, from
-    /// 0, and how many there are; `None` where it is not active.
+    /// Returns this node's position in the order of the active nodes for
+    /// `subject`, from 0, and the number of active nodes. Returns `None` if
+    /// this node is not active.
     ///
-    /// All find the same order that hear each other.
+    /// Nodes that hear each other find the same order.
     pub fn place(&self, now: u64, subject: u64) -> Option<(usize, usize)> {
         if !self.is_active() {
             return None;
@@ -349,17 +353,18 @@
         Some((rank, nodes))
     }
 
-    /// How many nodes take callers' requests, this one too, and how many of
-    /// them are not heard directly at the moment although they may well do so.
+    /// Returns the number of nodes that take callers' requests, including this
+    /// one, and how many of them are not heard directly at the moment although
+    /// they may be serving.
     pub fn reach(&self, now: u64) -> (usize, usize) {
         let entries = self.nodes.iter().filter(|node| node.is_entry(now));
         (entries.count() + 1, self.unheard(now).count())
     }
 
-    /// What to add to this node's time of day, in ms.
+    /// Returns the correction for this node's wall clock, in ms.
     ///
-    /// The median over all nodes that were heard lately: a clock that jumps,
-    /// or a third of them, does not move it.
+    /// It is the median over all nodes that were heard recently, so it does
+    /// not move when one clock, or a third of them, jumps.
     pub fn clock_offset(&self, now: u64) -> i64 {
         let limit = match self.is_member() {
             true => self.unheard_ms(now),
@@ -377,24 +382,25 @@
 
     // ---- Usage ------------------------------------------------------------
 
-    /// Counts a request that began here.
+    /// Counts a request that began at this node.
     pub fn count_began(&mut self, window: u64, team: &str) {
         self.counts.count(self.me.incarnation, window, team);
     }
 
-    /// Requests that began in a window, anywhere, by team.
+    /// Returns the requests that began in a window at all nodes, by team.
     pub fn usage(&self, window: u64) -> RecordUsage {
         self.counts.sum(window)
     }
 
-    /// True when every node that may serve is heard.
+    /// Returns true if every node that may serve is heard.
     pub fn hears_all(&self, now: u64) -> bool {
         self.unheard(now).next().is_none()
     }
 
-    /// Nodes that may well serve although they are not heard directly.
+    /// Returns the nodes that may be serving although they are not heard
+    /// directly.
     ///
-    /// A node that stands by can't tell: it hears one other at a time.
+    /// A standby node can't tell, because it hears one node at a time.
     pub(super) fn unheard(&self, now: u64) -> impl Iterator<Item = &Node> {
         let limit = self.unheard_ms(now);
         let can_tell = self.is_member();
@@ -404,18 +410,20 @@
         })
     }
 
-    /// Where nodes take turns, one is heard directly once in several rounds.
+    /// Returns the time without direct datagrams after which a node is
+    /// unheard, in ms. Where nodes take turns, a node is heard directly only
+    /// once in several rounds.
     fn unheard_ms(&self, now: u64) -> u64 {
         let turn_ms = 2.0 * mean_lag_ms(self.members(now).count() + 1);
         LIVE_MS.max((turn_ms * UNHEARD_TURNS) as u64)
     }
 
-    /// What others should know although its node does not tell them itself.
+    /// Returns counts of other nodes that this node relays.
     ///
-    /// A node that was killed has told some of the others what began there
-    /// since; a new leader that has just started itself is not among them.
-    /// And behind a cut a node tells those that hear it, but not the leader.
-    /// Without this the report would lack all of it.
+    /// A node that was killed has reported its last counts to some nodes only,
+    /// to which a leader that has just started does not belong. Behind a
+    /// network partition, a node reports to the nodes that hear it, but not to
+    /// the leader. Without relaying, the usage report would lack these counts.
     pub(super) fn relayed(&self, now: u64) -> Vec<Began> {
         let own = self.me.incarnation;
         self.counts.others(own, self.told, |incarnation| {
@@ -425,12 +433,13 @@
                 .find(|node| node.says.incarnation == incarnation);
             match speaker {
                 None => true,
-                // It tells those that can lead itself, and no other one.
+                // It sends its counts to the nodes that can lead, and to no
+                // other node.
                 Some(node) if Role::of(&node.says) == Role::Standby => {
                     now >= node.heard_at + SILENT_STANDBY_MS
                 }
                 Some(node) if !self.is_live(now, node) => true,
-                // Only who can lead needs the counts.
+                // Only nodes that can lead need the counts.
                 Some(node) => self
                     .live(now)
                     .filter(|other| other.says.has_disk)
@@ -441,19 +450,19 @@
 }
 
 impl Node {
-    /// Its address.
+    /// Returns its address.
     pub fn ip(&self) -> Ipv4Addr {
         Ipv4Addr::from(self.says.ip)
     }
-    /// True where callers are sent to it.
+    /// Returns true if callers are sent to it.
     pub fn is_active(&self) -> bool {
         self.says.serving && Role::of(&self.says) == Role::Active
     }
 
-    /// True where callers' requests may come in.
+    /// Returns true if callers' requests may come in at the node.
     ///
-    /// Who was draining and has been silent for longer than that takes stands
-    /// by, and its word of it was lost.
+    /// A draining node that has been silent for longer than a drain takes is
+    /// on standby, and its report of that was lost.
     fn is_entry(&self, now: u64) -> bool {
         let may_be = match Role::of(&self.says) {
             Role::Active => true,
@@ -463,14 +472,14 @@
         self.says.serving && may_be
     }
 
-    /// As it is told to others.
+    /// Returns its report for other nodes, with the present age.
     pub(super) fn aged(&self, now: u64) -> Peer {
         let age_ms = now.saturating_sub(self.heard_at) as u32;
         Peer { age_ms, ..self.says.clone() }
     }
 }
 
-/// Requests of other nodes, by replica.
+/// Requests of other nodes in flight, by replica.
 #[derive(Clone, Debug)]
 pub struct Loads {
     /// Sorted by replica.
@@ -478,8 +487,8 @@
 }
 
 impl Loads {
-    /// Requests under way at a replica, and the prompt tokens that it has yet
-    /// to read for them.
+    /// Returns the requests in flight at a replica, and the prompt tokens that
+    /// it has yet to read for them.
     pub fn at(&self, replica: u64) -> (u32, u32) {
         let found = position(&self.sums, &replica, |under| &under.replica);
         found.map_or((0, 0), |at| (self.sums[at].count, self.sums[at].pending))
