--- a/tests/all/mesh.rs
+++ b/tests/all/mesh.rs
@@ -1,5 +1,5 @@
-//! What a node makes of datagrams that are late, lost, doubled or forged by a
-//! wrong clock.
+//! How a node handles datagrams that are late, lost or duplicated, or that
+//! carry a wrong clock.
 
 use azuremount::{
     mesh::{
@@ -44,9 +44,9 @@
     found.map(|one| one.state)
 }
 
-/// Symptom: a replica that left is given work again. Sequence: it says that
-/// it leaves; a datagram of a node that has not heard it yet still calls it
-/// ready. Cause: the last one to arrive counts.
+/// Guards against sending requests to a replica that is leaving. A node that
+/// has not received the departure yet still reports the replica as ready, and
+/// that report must not replace a later state.
 #[test]
 fn a_replica_never_comes_back_from_leaving() {
     let mut table = table();
@@ -62,8 +62,8 @@
     assert_eq!(state(&table, "a"), Some(State::Gone));
 }
 
-/// Symptom: a replica that has said goodbye is used. Sequence: the goodbye
-/// reaches this node before any heartbeat does.
+/// Guards against using a departed replica whose departure notice arrives
+/// before its first heartbeat.
 #[test]
 fn a_goodbye_counts_also_before_the_first_heartbeat() {
     let mut table = table();
@@ -73,8 +73,8 @@
     assert_eq!(state(&table, "a"), Some(State::Gone));
 }
 
-/// Symptom: a stopped node is handed out again. Sequence: it says that it no
-/// longer serves; a third node passes on what it said before.
+/// Guards against handing out a stopped node. It announces that it no longer
+/// serves, and then a third node relays its previous report.
 #[test]
 fn old_word_of_a_node_through_others_changes_nothing() {
     let mut table = table();
@@ -88,8 +88,8 @@
     assert!(!node.says.serving);
 }
 
-/// Symptom: a node that restarted while its clock jumped back is ignored for
-/// as long as the jump was. Cause: beats are times of day.
+/// Guards against ignoring a restarted node whose clock has jumped back, for
+/// as long as the jump was. Beats are wall-clock times.
 #[test]
 fn a_restarted_node_with_an_early_clock_is_heard() {
     let mut table = table();
@@ -100,8 +100,8 @@
     assert_eq!(node.says.incarnation, 7);
 }
 
-/// Symptom: requests are billed to the wrong window. Sequence: the time of
-/// day jumps on one node in three. The median of all clocks stays.
+/// Guards against billing requests to the wrong window when the clock jumps on
+/// one node in three: the median of all clocks does not move.
 #[test]
 fn a_third_of_the_clocks_may_be_wrong() {
     let mut table = table();
@@ -121,8 +121,9 @@
     assert_eq!(own.clock_offset(now), -2000);
 }
 
-/// Symptom: a report lacks the requests of a node that died after it had told
-/// others of them; or counts them twice when datagrams are doubled.
+/// Guards against a usage report that lacks the requests of a node that
+/// crashed after it had reported them, or that counts them twice when
+/// datagrams are duplicated.
 #[test]
 fn usage_is_counted_once_however_often_it_is_told() {
     let mut table = table();
@@ -141,9 +142,9 @@
     assert_eq!(usage.counts[0].count, 6, "1 here and 5 there");
 }
 
-/// Symptom: a report lacks what began at a node before it was killed.
-/// Sequence: the node tells one other of it and dies; the leader has just
-/// started and never heard it.
+/// Guards against a usage report that lacks the last requests of a killed
+/// node. The node sends its counts to one other node and stops; the leader has
+/// just started and has never heard it.
 #[test]
 fn counts_of_a_dead_node_are_passed_on() {
     let team = "blue".to_owned();
@@ -167,7 +168,8 @@
     table.hear(0, 0, Gossip { under: under(4), ..gossip(3, 1) });
     assert_eq!(table.loads(1).at(9), (7, 200));
     assert_eq!(table.reach(1), (3, 0));
-    // One falls silent: its requests no longer count, but it may well serve.
+    // One node becomes silent: its requests no longer count, but it may be
+    // serving.
     table.hear(2000, 0, Gossip { under: under(4), ..gossip(3, 2) });
     assert_eq!(table.loads(2000).at(9), (4, 100));
     assert_eq!(table.reach(2000), (3, 1));
@@ -183,16 +185,17 @@
     assert_eq!(known, [(2001, &spent[..], true)]);
 }
 
-/// Symptom: when a data centre is reclaimed, some nodes go on sending work
-/// there. Sequence: forty replicas leave at once, and a datagram has room for
-/// a dozen. Cause: that they leave was told like everything else.
+/// Guards against sending requests to a data centre that is being reclaimed.
+/// Forty replicas leave at once, and a datagram has room for the full fields
+/// of a dozen.
 #[test]
 fn one_datagram_says_of_forty_that_they_leave() {
     let (mut from, mut to) = (table(), Table::open(peer(2, 0)));
     for number in 0..40 {
         let id = format!("r{number}");
         from.sight(0, says(&id, 0, 1), false);
-        // One half is known here already, the other is heard of later.
+        // One half is known at the receiver, the other half arrives there
+        // later.
         if number % 2 == 0 {
             to.sight(0, says(&id, 0, 1), false);
         }
@@ -207,8 +210,8 @@
     assert_eq!(ready.count(), 0);
 }
 
-/// Every replica that one node knows reaches another within some datagrams,
-/// although each has room for a few only.
+/// Every replica that one node knows reaches another node within some
+/// datagrams, although each datagram has room for a few only.
 #[test]
 fn all_replicas_get_round_in_time() {
     let mut from = table();
@@ -224,10 +227,10 @@
     assert_eq!(to.replicas().len(), 60);
 }
 
-/// Symptom: replicas seem silent to some nodes at any time, although their
-/// heartbeats come in. Sequence: seventy nodes tell sixteen others a round; a
-/// heartbeat that comes in at one node is told once, to those sixteen. Cause:
-/// the other nodes learn of it only when the replica has its turn among all.
+/// Guards against replicas that appear silent to some nodes although their
+/// heartbeats arrive. Seventy nodes each send to sixteen others in a round. If
+/// a node sends a heartbeat only once, the remaining nodes learn of it only
+/// when the replica is repeated.
 #[test]
 fn heartbeats_reach_all_of_seventy_nodes_in_time() {
     const NODES: u32 = 70;
@@ -261,10 +264,11 @@
     assert!(worst <= 3600, "{worst} ms old");
 }
 
-/// Symptom: requests reach replicas 2.5 s after they said that they leave.
-/// Sequence: a hundred and fifty are let go at once, each tells another one of
-/// seventy nodes, and a datagram names sixty-four. Cause: the newest were
-/// named; what a node had heard itself was soon older than what others told.
+/// Guards against requests that reach replicas 2.5 s after these announced
+/// that they leave. A hundred and fifty replicas leave at once, each notifies
+/// one of seventy nodes, and a datagram lists sixty-four. If a datagram listed
+/// the newest only, the departures that a node has received directly would
+/// soon be older than those that other nodes report.
 #[test]
 fn all_nodes_know_in_time_of_hundreds_that_leave_at_once() {
     const NODES: usize = 70;
@@ -281,7 +285,7 @@
     }
     for round in 0..7_u64 {
         for from in 0..NODES {
-            // Not all in the same moment, but one after the other.
+            // Nodes send one after the other, not all at the same moment.
             let now = 1000 + round * 300 + from as u64 * 4;
             let told = tables[from].compose(now, now as i64, Own::default());
             for step in 0..16 {
@@ -296,7 +300,7 @@
     assert_eq!(unknown, 0, "2.1 s later");
 }
 
-/// What a life of a replica says of itself.
+/// Returns a heartbeat of an incarnation of a replica.
 fn life(id: &str, born: u64, state: u32, sequence: u64) -> Sighting {
     Sighting { born, ..says(&life_name(id, born), state, sequence) }
 }
@@ -305,11 +309,11 @@
     table.usable(now).into_iter().map(|one| one.id).collect()
 }
 
-/// Symptom: a replica that was restarted gets no work for minutes. Sequence:
-/// it says that it leaves, ends, and starts again under its id, with its count
-/// of statements anew; a statement of its old life comes in after that. Cause:
-/// both lives were one replica, whose state never goes back and whose newest
-/// statement is the one with the highest count.
+/// Guards against a restarted replica that gets no requests for minutes. It
+/// announces that it leaves, stops, and restarts under the same id with its
+/// sequence numbers from the beginning; then a heartbeat of its former
+/// incarnation arrives. The incarnations must be kept apart: the state of one
+/// never goes back, and its heartbeat with the highest sequence number counts.
 #[test]
 fn a_replica_that_starts_again_under_its_id_is_used() {
     let mut table = table();
@@ -317,7 +321,8 @@
     table.sight(1, life("a", 1000, 1, 51), true);
     assert!(table.sight(5, life("a", 2000, 0, 1), true));
     assert_eq!(usable(&table, 5), ["a@2000"]);
-    // Late word of the old life: its own, and through another node.
+    // Late heartbeats of the former incarnation, received directly and through
+    // another node.
     table.sight(6, life("a", 1000, 1, 52), true);
     let late = Gossip {
         replicas: vec![life("a", 1000, 0, 49), life("a", 1000, 2, 53)],
@@ -328,9 +333,9 @@
     assert_eq!(usable(&table, 7), ["a@2000"]);
 }
 
-/// Symptom: requests are sent by what a crashed replica had, to the one that
-/// took its place. Sequence: it crashes without a word and starts again. Cause:
-/// its former life went on counting until it had been silent for long.
+/// Guards against routing requests by the caches of a crashed replica to the
+/// one that replaces it. The replica crashes and restarts; its former
+/// incarnation must not stay usable until it has been silent for long.
 #[test]
 fn a_life_ends_when_the_next_one_begins() {
     let mut table = table();
@@ -339,15 +344,15 @@
     table.sight(100, life("a", 2000, 0, 1), false);
     assert_eq!(usable(&table, 100), ["a@2000", "b@1000"]);
     assert_eq!(state(&table, "a@1000"), Some(State::Gone));
-    // What is remembered of it does not bring it back either.
+    // A remembered incarnation does not bring it back either.
     let remembered = Sighting { remembered: true, ..life("a", 500, 0, 9) };
     table.sight(101, remembered, false);
     assert_eq!(usable(&table, 101), ["a@2000", "b@1000"]);
 }
 
-/// Symptom: a replica is out of use for good. Sequence: the clock of its VM
-/// jumps back while it is down, so its new life began before its old one by
-/// the numbers. Cause: the higher number counts, whoever speaks.
+/// Guards against never using a replica again after the clock of its VM has
+/// jumped back while it was down. The start time of its new incarnation is
+/// then earlier than that of its former one.
 #[test]
 fn a_clock_that_jumped_back_shuts_no_replica_out() {
     let mut table = table();
@@ -363,8 +368,8 @@
     assert_eq!(usable(&table, 11_001), ["a@4000"]);
 }
 
-/// A goodbye that does not tell which life says it is the present one's, also
-/// at nodes that hear of it by the replica's number only.
+/// A departure notice without a start time applies to the current incarnation,
+/// also at nodes that receive it as the hash of the replica's id only.
 #[test]
 fn a_goodbye_without_a_life_ends_the_present_one() {
     let goodbye = Sighting { service: String::new(), ..says("a", 2, 0) };
@@ -376,7 +381,7 @@
     let told = Gossip { left: vec![replica_hash("a")], ..gossip(1, 1) };
     other.hear(11, 0, told);
     assert_eq!(state(&other, "a@1000"), Some(State::Leaving));
-    // Its next life is another matter.
+    // The notice does not apply to its next incarnation.
     one.sight(5000, life("a", 4000, 0, 1), true);
     assert_eq!(usable(&one, 5000), ["a@4000"]);
 }
@@ -389,12 +394,12 @@
     assert_eq!(life_name("a", 0), "a");
 }
 
-/// Symptom: a replica that was behind a cut is out of use for a minute.
-/// Sequence: it is silent for more than ten seconds; a heartbeat of its former
-/// life, held up by the same cut, comes in at a node that did not know that
-/// one; then it is heard again. Cause: the
-/// late word ended it, as if the clock had jumped back, and one that has ended
-/// never came back.
+/// Guards against not using a replica for a minute after a network partition.
+/// It is silent for more than ten seconds; a heartbeat of its former
+/// incarnation, delayed by the same partition, arrives at a node that did not
+/// know that incarnation; then the replica is heard again. The late heartbeat
+/// marks the current incarnation as departed, as after a clock that has jumped
+/// back, and that must be undone.
 #[test]
 fn late_word_after_a_long_silence_costs_seconds_only() {
     let mut table = table();
@@ -402,16 +407,15 @@
     table.sight(12_000, life("a", 4000, 0, 51), true);
     table.sight(23_000, life("a", 5000, 0, 9), true);
     assert_eq!(usable(&table, 23_000), ["a@5000"]);
-    // Word that is old when it is passed on proves nothing either way.
+    // A heartbeat that is old when it is relayed proves nothing either way.
     let told = Sighting { age_ms: 22_000, ..life("a", 4000, 0, 50) };
     let late = Gossip { replicas: vec![told], ..gossip(2, 1) };
     table.hear(35_000, 0, late);
     assert_eq!(usable(&table, 35_000), ["a@5000"]);
 }
 
-/// What a node has to tell of a request at two replicas that ended.
-/// Guards against limits that two nodes divide by different orders, and against
-/// shares of nodes that have no callers.
+/// Guards against rate limits that two nodes divide by different orders, and
+/// against shares for nodes that have no callers.
 #[test]
 fn nodes_that_hear_each_other_find_the_same_order() {
     let mut tables: Vec<Table> =
@@ -442,10 +446,11 @@
     Own { crashes: vec![crash(1), crash(2)], ..Own::default() }
 }
 
-/// Symptom: on a deployment of hundreds of nodes a request ends six replicas
-/// more before all keep it away. Sequence: it comes in at one node after the
-/// other, each 0.2 s; a node tells sixteen of forty others a round. So it is
-/// told at once to all that take requests.
+/// Guards against a request that crashes six more replicas on a deployment of
+/// hundreds of nodes before all nodes quarantine it. It arrives at one node
+/// after the other, every 0.2 s, and a node sends regular datagrams to sixteen
+/// of forty others in a round. Urgent datagrams go at once to all nodes that
+/// take requests.
 #[test]
 fn all_of_forty_nodes_are_told_at_once_of_a_request_that_ends_replicas() {
     let mut table = table();
@@ -465,8 +470,9 @@
     assert_eq!(told, (2..42).collect::<Vec<u32>>());
 }
 
-/// Symptom: a node that stands by ends replicas when its first callers come.
-/// Cause: nobody tells it of requests that do; it hears only what it asks for.
+/// Guards against a standby node that crashes replicas when its first callers
+/// arrive, because it was never notified of the requests that do so: it hears
+/// only the answers to its own requests.
 #[test]
 fn a_node_that_stands_by_is_told_of_requests_that_end_replicas() {
     let mut table = table();
