--- a/tests/all/mesh_scale.rs
+++ b/tests/all/mesh_scale.rs
@@ -1,12 +1,13 @@
-//! The mesh at ten to four hundred and ten nodes, in one process and without
-//! a network: what it costs, what nodes know of each other, and how soon.
+//! Tests the mesh with ten to four hundred and ten nodes, in one process and
+//! without a network: how many bytes it sends, what nodes know of each other,
+//! and the propagation delay.
 //!
-//! The pattern: six data centres, replicas that send a heartbeat each 1.2 s to
-//! whichever node they find, forty teams, and callers whose requests go to the
+//! The simulation has six data centres, replicas that send a heartbeat every
+//! 1.2 s to a random node, forty teams, and callers whose requests go to the
 //! nodes that are handed out. One datagram in forty is lost, and each takes a
-//! millisecond or two. Bounds are those that the users state: 4 KB/s for
-//! control, everybody knows within two seconds, nobody is suspected on a day
-//! without faults.
+//! millisecond or two. The bounds are those that the users state: 4 KB/s for
+//! control, all nodes are up to date within two seconds, and no node is
+//! suspected on a day without faults.
 
 use std::{collections::BTreeMap, net::Ipv4Addr};
 
@@ -24,13 +25,13 @@
 const TEAMS: u64 = 40;
 const PERIOD_MS: u64 = 300;
 const HEARTBEAT_MS: u64 = 1200;
-/// One datagram in so many is lost.
+/// One in this number of datagrams is lost.
 const LOST: u32 = 40;
 /// Callers' requests each second, over all nodes.
 const REQUESTS: u64 = 1300;
-/// Callers begin then: the users' machines are up for that long at least.
+/// Time at which callers start. The users' VMs run for at least that long.
 const TRAFFIC_AT_MS: u64 = 14_000;
-/// Roles and averages have settled by then.
+/// Time by which roles and averages have settled.
 const SETTLED_MS: u64 = 24_000;
 
 struct Machine {
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Heartbeats that are due, each at another node.
+    /// Delivers the heartbeats that are due, each to a random node.
     fn beat(&mut self) {
         for replica in 0..self.replicas {
             if (self.now + replica * 11).is_multiple_of(HEARTBEAT_MS) {
@@ -159,7 +160,7 @@
         }
     }
 
-    /// What a node would say of its callers' requests.
+    /// Returns what a node would report of its callers' requests.
     fn own(&mut self, at: usize) -> Own {
         let active = self.actives();
         let rate = match active.binary_search(&at) {
@@ -257,7 +258,7 @@
         self.machines.iter().position(|one| one.ip == ip)
     }
 
-    /// Machines that callers are sent to.
+    /// Returns the nodes that callers are sent to.
     fn actives(&self) -> Vec<usize> {
         let all = 0..self.machines.len();
         all.filter(|&at| {
@@ -267,9 +268,9 @@
         .collect()
     }
 
-    /// Of all pairs of a node and one of its data centre that has been active
-    /// for two seconds, those where the first does not hand out the second, in
-    /// a thousand.
+    /// Returns, per thousand, the share of pairs in which a node does not hand
+    /// out another node of its data centre that has been active for two
+    /// seconds.
     fn missed(&self) -> u64 {
         let mut actives = self.actives();
         actives.retain(|&at| self.now >= self.machines[at].changed_at + 2000);
@@ -295,8 +296,8 @@
         }
     }
 
-    /// Bytes that a node sends each second, on average over all; all of them,
-    /// and those that leave the data centre.
+    /// Returns the bytes that a node sends each second, averaged over all
+    /// nodes: in total, and to other data centres.
     fn bytes(&self, over_ms: u64) -> (u64, u64) {
         let nodes = self.machines.len() as u64;
         let sent: u64 = self.machines.iter().map(|one| one.sent_bytes).sum();
@@ -319,7 +320,7 @@
     }
 }
 
-/// The bytes of each field of a datagram.
+/// Returns the bytes of each field of a datagram.
 fn lengths(gossip: &Gossip) -> [(&'static str, u64); 9] {
     let part = |part: Gossip| part.encoded_len() as u64;
     let none = Gossip::default;
@@ -340,7 +341,8 @@
     ]
 }
 
-/// Replicas at a number of nodes: as on the users' sites, and as they plan.
+/// Returns the number of replicas for a number of nodes, as the users have or
+/// plan them.
 fn replicas_for(nodes: usize) -> u64 {
     match nodes {
         0..=10 => 22,
@@ -350,12 +352,12 @@
     }
 }
 
-/// Symptom: on a quiet day of three hundred nodes 7.9 GB of the nodes' own
-/// word cross between data centres, requests wait for links that are full of
-/// it, and teams within their quotas are refused. Sequence: a node takes 5.6 s
-/// to tell all others, so most seem silent to each after 1.8 s; all silent
-/// ones are greeted each 1.2 s with all that a node knows, and answer with all
-/// that they know. Cause: everybody tells everybody of everything.
+/// Guards against gossip that grows with the number of nodes. With three
+/// hundred nodes, 7.9 GB of gossip crossed between data centres on a day
+/// without faults, requests waited for the links, and teams within their
+/// quotas were refused. A node took 5.6 s to send to all others, so most
+/// appeared silent after 1.8 s; all silent nodes were greeted every 1.2 s with
+/// full datagrams, and answered with full datagrams.
 #[test]
 fn nodes_know_each_other_at_any_size_for_few_bytes() {
     for nodes in [10, 70, 300, 410] {
@@ -376,12 +378,13 @@
     }
 }
 
-/// Symptom: in the first twenty seconds of a quiet day of three hundred nodes
-/// teams within their quotas are refused 8,000 times, in some data centres ten
-/// times as often as in others. Sequence: all nodes are active at first, and
-/// most step back before callers come; they tell those that they hear at that
-/// moment, which is a part of three hundred. Cause: to the others they seem to
-/// serve behind a cut, and their parts of all quotas are left out.
+/// Guards against refusing teams that are within their quotas. In the first
+/// twenty seconds of a day without faults, with three hundred nodes, that
+/// happened 8,000 times, in some data centres ten times as often as in others.
+/// All nodes are active at first, and most stop being active before callers
+/// arrive. Each notifies only the nodes that it hears at that moment, which
+/// are a part of three hundred. To the others it appeared to serve behind a
+/// network partition, and its shares of all quotas were left out.
 #[test]
 fn nodes_that_step_back_do_not_count_as_cut_off() {
     for nodes in [70, 300] {
@@ -401,9 +404,9 @@
     }
 }
 
-/// Symptom: requests go to replicas that said long ago that they leave.
-/// Sequence: a data centre is reclaimed; a sixth of the replicas say so, each
-/// to another one of three hundred nodes.
+/// Guards against sending requests to replicas that have long announced that
+/// they leave. A data centre is reclaimed; a sixth of the replicas announce
+/// that they leave, each to a random one of three hundred nodes.
 #[test]
 fn all_know_within_two_seconds_that_replicas_leave() {
     for nodes in [70, 300] {
@@ -432,8 +435,8 @@
     }
 }
 
-/// Symptom: callers are sent to nodes that have been dead for long. Sequence:
-/// a tenth of three hundred nodes lose power at the same moment.
+/// Guards against sending callers to nodes that have long been down. A tenth
+/// of three hundred nodes lose power at the same moment.
 #[test]
 fn dead_nodes_are_not_handed_out_for_long() {
     for nodes in [10, 70, 300] {
@@ -444,7 +447,7 @@
         for &at in &dead {
             fleet.machines[at].is_down = true;
         }
-        // Silence is noticed after 1.8 s, 3 s at a node that stands by.
+        // Silence is noticed after 1.8 s, or 3 s on a standby node.
         fleet.run(SETTLED_MS + 4000);
         for (at, machine) in fleet.machines.iter().enumerate() {
             let near = data_centre(at);
