--- a/tests/all/roles.rs
+++ b/tests/all/roles.rs
@@ -1,4 +1,4 @@
-//! Which nodes take callers' requests, and who takes over.
+//! Tests which nodes take callers' requests, and which replace lost ones.
 
 use azuremount::{
     mesh::role::{Keeper, Rate, Role, View},
@@ -9,13 +9,13 @@
     Peer { ip, serving: true, ..Peer::default() }
 }
 
-/// What a node sees of active nodes near it, among so many that serve in six
-/// data centres.
+/// Returns the view of a node with the active nodes `near` it, where `serving`
+/// nodes serve in six data centres.
 fn view_of(near: &[Peer], serving: usize) -> View<'_> {
     View { near: near.iter().collect(), rate: 0, serving, data_centres: 6 }
 }
 
-/// The nodes of one data centre that know each other, with a role each.
+/// The nodes of one data centre that hear each other, with a role each.
 struct Site {
     now: u64,
     keepers: Vec<(Peer, Keeper, Role)>,
@@ -32,7 +32,8 @@
         Site { now: 0, keepers: keepers.collect(), rate: 0 }
     }
 
-    /// All decide by what the others said a moment ago.
+    /// Each node decides by the roles that the others had in the previous
+    /// round.
     fn run(&mut self, for_ms: u64) {
         let until = self.now + for_ms;
         while self.now < until {
@@ -62,8 +63,8 @@
     }
 }
 
-/// Symptom: three hundred nodes choose replicas for four requests a second
-/// each, and know of each other seconds late. Cause: all are handed out.
+/// Guards against handing out all of three hundred nodes. Each would route
+/// four requests a second and learn of the others' requests seconds late.
 #[test]
 fn a_few_nodes_of_fifty_are_active() {
     let mut site = Site::open(50, 2);
@@ -74,8 +75,8 @@
     assert_eq!(site.active().len(), 6, "and it stays so");
 }
 
-/// Symptom: callers wait at six nodes while forty-four have nothing to do.
-/// Sequence: the callers of all data centres move to one.
+/// Guards against callers that wait at six nodes while forty-four are idle,
+/// when the callers of all data centres move to one.
 #[test]
 fn more_are_active_where_there_are_more_requests() {
     let mut site = Site::open(50, 2);
@@ -89,8 +90,8 @@
     assert_eq!(site.active().len(), 6);
 }
 
-/// Symptom: a data centre is left with one node for its callers. Sequence:
-/// five of six active nodes lose power at once.
+/// Guards against a data centre that is left with one node for its callers
+/// after five of six active nodes lose power at once.
 #[test]
 fn standbys_take_over_from_nodes_that_are_lost() {
     let mut site = Site::open(50, 2);
@@ -105,7 +106,7 @@
     assert_eq!(site.active().len(), 6, "those too many have stepped back");
 }
 
-/// One that steps back goes on telling the others of its load for as long as
+/// A node that is no longer active goes on reporting its load for as long as
 /// callers may keep its address.
 #[test]
 fn a_node_that_steps_back_drains_first() {
@@ -129,8 +130,8 @@
     assert!(ends >= drains + 10_000, "stood by after {ends}");
 }
 
-/// Symptom: two hundred nodes that have just started tell each other for ten
-/// seconds of requests that they don't have.
+/// Guards against two hundred nodes that have just started and report to each
+/// other for ten seconds although they have no requests.
 #[test]
 fn a_node_without_requests_stands_by_at_once() {
     let near: Vec<Peer> = (100..160).map(peer).collect();
@@ -143,7 +144,8 @@
     assert_eq!(keeper.review(3000, &me, &view), Role::Standby);
 }
 
-/// Up to two dozen nodes, all are needed: each is a large part of them.
+/// Up to two dozen nodes are all active, because each is a large part of the
+/// capacity.
 #[test]
 fn all_of_ten_nodes_are_active() {
     let near: Vec<Peer> = (2..11).map(peer).collect();
@@ -155,8 +157,8 @@
     }
 }
 
-/// The rate follows a rush within seconds and forgets it slowly, so that the
-/// next wave finds as many nodes as the last one needed.
+/// The rate follows a peak within seconds and falls slowly, so that the next
+/// peak finds as many nodes as the last one needed.
 #[test]
 fn the_rate_rises_fast_and_falls_slowly() {
     let mut rate = Rate::default();
