--- a/src/mesh/datagram.rs
+++ b/src/mesh/datagram.rs
@@ -4,7 +4,7 @@
     FANOUT,
     replica::State,
     role::Role,
-    table::{FORGET_NODE_MS, LIVE_MS, News, Node, Own, Table},
+    table::{NODE_RETENTION_MS, NODE_TIMEOUT_MS, News, Node, Own, Table},
 };
 use crate::{
     util::{common, position},
@@ -14,10 +14,10 @@
 /// Time without heartbeats after which a replica is dropped, in ms. It is
 /// longer than a network partition between a replica and control, during which
 /// the replica goes on serving.
-const FORGET_REPLICA_MS: u64 = 30_000;
+const REPLICA_RETENTION_MS: u64 = 30_000;
 /// Time for which a leaving or departed replica is remembered, in ms. It is
 /// longer than a heartbeat can be delayed.
-const TOMBSTONE_MS: u64 = 60_000;
+const TOMBSTONE_RETENTION_MS: u64 = 60_000;
 /// Replicas with all their fields in one datagram, so that it fits an Ethernet
 /// frame.
 const REPLICAS_PER_DATAGRAM: usize = 12;
@@ -30,20 +30,20 @@
 const PEERS_PER_DATAGRAM: usize = 6;
 /// Nodes in an answer to a starting or standby node, besides those that it
 /// needs to know.
-const PEERS_IN_ANSWER: usize = 8;
+const PEERS_PER_ANSWER: usize = 8;
 /// Maximum number of needed nodes in an answer: active nodes of the asking
 /// node's data centre and nodes with a disk. It bounds the length of the
 /// datagram.
-const NEAR_IN_ANSWER: usize = 24;
+const MAX_NEEDED_PEERS_PER_ANSWER: usize = 24;
 /// Maximum age of a node's last report for the node to be relayed, in ms. An
 /// older report does not help to show that the node is live.
-const PASSED_ON_MS: u64 = LIVE_MS / 2;
+const MAX_RELAYED_PEER_AGE_MS: u64 = NODE_TIMEOUT_MS / 2;
 /// Number of times that a standby node sends each heartbeat, each time to
 /// another node, because one datagram may be lost.
-const TOLD_BY_STANDBY: u32 = 2;
+const STANDBY_SENDS_PER_HEARTBEAT: u32 = 2;
 /// Replicas that each datagram repeats in turn although the receiver probably
 /// knows them, so that every gap is filled within seconds.
-const REPEATED_PER_DATAGRAM: usize = 3;
+const REPEATED_REPLICAS_PER_DATAGRAM: usize = 3;
 
 common! {
     copy
@@ -54,7 +54,7 @@
         /// No load.
         Nothing,
         /// Only the requests in flight.
-        UnderWay,
+        InFlight,
     }
 }
 
@@ -62,7 +62,7 @@
     fn of(scope: u32) -> Scope {
         match scope {
             0 => Scope::All,
-            2 => Scope::UnderWay,
+            2 => Scope::InFlight,
             _ => Scope::Nothing,
         }
     }
@@ -83,15 +83,15 @@
         let relays = self.is_member()
             && !from.has_disk
             && Role::of(&from) == Role::Standby;
-        news.nodes |= self.hear_of(now, from, true);
+        news.nodes |= self.apply_peer(now, from, true);
         for peer in gossip.peers {
-            news.nodes |= self.hear_of(now, peer, false);
+            news.nodes |= self.apply_peer(now, peer, false);
         }
-        if let Ok(at) = position(&self.nodes, &ip, |one| &one.says.ip) {
+        if let Ok(at) = position(&self.nodes, &ip, |node| &node.says.ip) {
             let node = &mut self.nodes[at];
             if node.says.incarnation == incarnation {
-                node.lead_ms = gossip.wall_ms - wall_ms;
-                node.direct_at = now;
+                node.clock_lead_ms = gossip.wall_ms - wall_ms;
+                node.heard_directly_at = now;
                 let scope = Scope::of(gossip.scope);
                 if scope != Scope::Nothing {
                     node.under = gossip.under;
@@ -110,67 +110,69 @@
             news.leaves |= changed && leaves;
         }
         for beat in gossip.beats {
-            self.hear_beat(now, &beat, relays);
+            self.apply_beat(now, &beat, relays);
         }
-        self.counts.note(Began { node: incarnation, windows: gossip.usage });
+        self.counts.merge(Began { node: incarnation, windows: gossip.usage });
         for hash in gossip.left {
-            let changed = self.hear_left(now, hash);
+            let changed = self.apply_departure(now, hash);
             news.replicas |= changed;
             news.leaves |= changed;
         }
         for relayed in gossip.relayed {
-            self.counts.note(relayed);
+            self.counts.merge(relayed);
         }
         news
     }
 
-    fn hear_beat(&mut self, now: u64, beat: &Beat, relays: bool) {
+    fn apply_beat(&mut self, now: u64, beat: &Beat, relays: bool) {
         let mut replicas = self.replicas.iter_mut();
-        if let Some(known) = replicas.find(|one| one.hash == beat.replica) {
-            known.beat(now, beat, relays);
+        if let Some(known) =
+            replicas.find(|replica| replica.hash == beat.replica)
+        {
+            known.apply_beat(now, beat, relays);
         }
     }
 
-    fn hear_of(&mut self, now: u64, says: Peer, direct: bool) -> bool {
+    fn apply_peer(&mut self, now: u64, says: Peer, is_direct: bool) -> bool {
         if says.ip == self.me.ip {
             return false;
         }
-        // The age is subtracted because a report of a dead node, if its age
-        // counted from its arrival, would keep that node live for as long as
-        // other nodes relay it.
+        // Subtracts the report's age. Counted from its arrival, a relayed
+        // report of a dead node would keep that node live for as long as other
+        // nodes relay it.
         let heard_at = now.saturating_sub(u64::from(says.age_ms));
         let says = Peer { age_ms: 0, ..says };
-        match position(&self.nodes, &says.ip, |one| &one.says.ip) {
+        match position(&self.nodes, &says.ip, |node| &node.says.ip) {
             Ok(at) => {
                 let node = &mut self.nodes[at];
-                let restarted = node.says.incarnation != says.incarnation;
+                let is_restarted = node.says.incarnation != says.incarnation;
                 // A beat is a wall-clock time, so it also grows across
                 // restarts unless the clock has jumped back. In that case the
                 // restarted node is accepted once it sends a datagram itself.
-                let old = says.beat <= node.says.beat;
-                if old && !(restarted && direct) {
+                let is_old = says.beat <= node.says.beat;
+                if is_old && !(is_restarted && is_direct) {
                     return false;
                 }
                 node.heard_at = node.heard_at.max(heard_at);
-                if restarted {
+                if is_restarted {
                     node.under.clear();
                     node.spent.clear();
                     node.work.clear();
                 }
                 node.says = says;
-                restarted
+                is_restarted
             }
             Err(at) => {
                 let node = Node {
                     says,
                     heard_at,
-                    direct_at: 0,
-                    since: now,
+                    heard_directly_at: 0,
+                    first_seen_at: now,
                     under: Vec::new(),
                     spent: Vec::new(),
                     work: Vec::new(),
                     unheard: Vec::new(),
-                    lead_ms: 0,
+                    clock_lead_ms: 0,
                 };
                 self.nodes.insert(at, node);
                 true
@@ -181,7 +183,7 @@
     /// Returns the next datagram to members, with this node's load.
     pub fn compose(&mut self, now: u64, wall_ms: i64, own: Own) -> Gossip {
         let (replicas, beats) = self.next_replicas(now);
-        let gossip = self.word(now, wall_ms, replicas, beats);
+        let gossip = self.base_gossip(now, wall_ms, replicas, beats);
         let peers = self.next_peers(now, PEERS_PER_DATAGRAM);
         Gossip { peers, ..self.with_load(now, gossip, own) }
     }
@@ -189,10 +191,14 @@
     /// Returns a datagram with urgent information only: this node, and
     /// replicas that are new or have changed their state.
     pub(super) fn compose_urgent(&mut self, now: u64, wall_ms: i64) -> Gossip {
-        let changed = self.replicas.iter().filter(|one| one.tell_whole > 0);
+        let changed = self
+            .replicas
+            .iter()
+            .filter(|replica| replica.pending_full_sends > 0);
         let changed = changed.take(REPLICAS_PER_DATAGRAM);
-        let replicas = changed.map(|one| one.aged(now)).collect();
-        let gossip = self.word(now, wall_ms, replicas, Vec::new());
+        let replicas =
+            changed.map(|replica| replica.to_sighting(now)).collect();
+        let gossip = self.base_gossip(now, wall_ms, replicas, Vec::new());
         Gossip { scope: Scope::Nothing as u32, ..gossip }
     }
 
@@ -206,15 +212,16 @@
         now: u64,
         wall_ms: i64,
         own: Own,
-        asked: &Peer,
+        asker: &Peer,
     ) -> Gossip {
-        let replicas = self.repeated(now);
-        let mut gossip = self.word(now, wall_ms, replicas, Vec::new());
-        let told = self.replicas.iter().filter(|one| one.tell > 0);
-        let told = told.take(BEATS_PER_DATAGRAM);
-        gossip.beats = told.map(|one| one.last_beat(now)).collect();
-        gossip.peers = self.peers_for(now, asked);
-        match asked.has_disk || Role::of(asked) != Role::Standby {
+        let replicas = self.next_repeated(now);
+        let mut gossip = self.base_gossip(now, wall_ms, replicas, Vec::new());
+        let due =
+            self.replicas.iter().filter(|replica| replica.pending_sends > 0);
+        let due = due.take(BEATS_PER_DATAGRAM);
+        gossip.beats = due.map(|replica| replica.last_beat(now)).collect();
+        gossip.peers = self.peers_for(now, asker);
+        match asker.has_disk || Role::of(asker) != Role::Standby {
             true => self.with_load(now, gossip, own),
             false => Gossip {
                 scope: Scope::Nothing as u32,
@@ -228,7 +235,7 @@
     }
 
     /// Returns the fields that every datagram has.
-    fn word(
+    fn base_gossip(
         &mut self,
         now: u64,
         wall_ms: i64,
@@ -241,14 +248,14 @@
             replicas,
             beats,
             wall_ms,
-            left: self.lately_left(now),
+            left: self.next_departures(now),
             ..Gossip::default()
         }
     }
 
     fn with_load(&mut self, now: u64, gossip: Gossip, own: Own) -> Gossip {
         self.own_work.clone_from(&own.work);
-        self.told += 1;
+        self.load_reports_sent += 1;
         Gossip {
             under: own.under,
             spent: own.spent,
@@ -258,7 +265,9 @@
             suspected: own.suspected,
             successes: own.successes,
             limits: own.limits,
-            usage: self.counts.latest_of(self.me.incarnation, self.told),
+            usage: self
+                .counts
+                .latest_of(self.me.incarnation, self.load_reports_sent),
             relayed: self.relayed(now),
             unheard: self.unheard(now).map(|node| node.says.ip).collect(),
             ..gossip
@@ -266,32 +275,32 @@
     }
 
     /// Returns some of the members, in turn.
-    fn next_peers(&mut self, now: u64, most: usize) -> Vec<Peer> {
+    fn next_peers(&mut self, now: u64, max_peers: usize) -> Vec<Peer> {
         let from = self.next_peer;
-        self.next_peer = from.wrapping_add(most);
+        self.next_peer = from.wrapping_add(max_peers);
         let fresh: Vec<&Node> = self
             .members(now)
-            .filter(|node| now < node.heard_at + PASSED_ON_MS)
+            .filter(|node| now < node.heard_at + MAX_RELAYED_PEER_AGE_MS)
             .collect();
-        let count = fresh.len().min(most);
+        let count = fresh.len().min(max_peers);
         (0..count)
-            .map(|step| fresh[(from + step) % fresh.len()].aged(now))
+            .map(|step| fresh[(from + step) % fresh.len()].to_peer(now))
             .collect()
     }
 
-    fn peers_for(&mut self, now: u64, asked: &Peer) -> Vec<Peer> {
-        let from = self.next_near;
-        let needs = |node: &&Node| {
-            let is_near = node.says.data_centre == asked.data_centre;
+    fn peers_for(&mut self, now: u64, asker: &Peer) -> Vec<Peer> {
+        let from = self.next_near_peer;
+        let is_needed = |node: &&Node| {
+            let is_near = node.says.data_centre == asker.data_centre;
             node.says.has_disk || (is_near && node.is_active())
         };
-        let needed: Vec<&Node> = self.members(now).filter(needs).collect();
-        let count = needed.len().min(NEAR_IN_ANSWER);
+        let needed: Vec<&Node> = self.members(now).filter(is_needed).collect();
+        let count = needed.len().min(MAX_NEEDED_PEERS_PER_ANSWER);
         let mut peers: Vec<Peer> = (0..count)
-            .map(|step| needed[(from + step) % needed.len()].aged(now))
+            .map(|step| needed[(from + step) % needed.len()].to_peer(now))
             .collect();
-        self.next_near = self.next_near.wrapping_add(count);
-        peers.extend(self.next_peers(now, PEERS_IN_ANSWER));
+        self.next_near_peer = self.next_near_peer.wrapping_add(count);
+        peers.extend(self.next_peers(now, PEERS_PER_ANSWER));
         peers
     }
 
@@ -305,58 +314,58 @@
     /// seconds late with seventy nodes. Each replica would then appear silent
     /// to some nodes at any time.
     fn next_replicas(&mut self, now: u64) -> (Vec<Sighting>, Vec<Beat>) {
-        let rounds = match self.is_member() {
+        let sends = match self.is_member() {
             true => self.members(now).count().div_ceil(FANOUT).max(1) as u32,
-            false => TOLD_BY_STANDBY,
+            false => STANDBY_SENDS_PER_HEARTBEAT,
         };
-        let mut whole = Vec::new();
+        let mut full = Vec::new();
         let mut beats = Vec::new();
         for replica in &mut self.replicas {
-            let left = replica.tell.min(rounds);
-            if left == 0 {
+            let remaining = replica.pending_sends.min(sends);
+            if remaining == 0 {
                 continue;
             }
-            let is_known = replica.tell_whole == 0;
+            let is_known = replica.pending_full_sends == 0;
             if is_known && beats.len() < BEATS_PER_DATAGRAM {
-                replica.tell = left - 1;
+                replica.pending_sends = remaining - 1;
                 if replica.state == State::Ready {
                     beats.push(replica.last_beat(now));
                 }
-            } else if !is_known && whole.len() < REPLICAS_PER_DATAGRAM {
-                replica.tell = left - 1;
-                replica.tell_whole = replica.tell;
-                whole.push(replica.aged(now));
+            } else if !is_known && full.len() < REPLICAS_PER_DATAGRAM {
+                replica.pending_sends = remaining - 1;
+                replica.pending_full_sends = replica.pending_sends;
+                full.push(replica.to_sighting(now));
             }
         }
-        whole.extend(self.repeated(now));
-        (whole, beats)
+        full.extend(self.next_repeated(now));
+        (full, beats)
     }
 
     /// Returns some replicas, in turn.
-    fn repeated(&mut self, now: u64) -> Vec<Sighting> {
-        let count = self.replicas.len().min(REPEATED_PER_DATAGRAM);
+    fn next_repeated(&mut self, now: u64) -> Vec<Sighting> {
+        let count = self.replicas.len().min(REPEATED_REPLICAS_PER_DATAGRAM);
         let mut repeated = Vec::new();
         for _ in 0..count {
             self.next_replica = (self.next_replica + 1) % self.replicas.len();
-            repeated.push(self.replicas[self.next_replica].aged(now));
+            repeated.push(self.replicas[self.next_replica].to_sighting(now));
         }
         repeated
     }
 
     /// Drops nodes, replicas and counts whose retention has passed.
     pub fn expire(&mut self, now: u64) {
-        self.nodes.retain(|node| now < node.heard_at + FORGET_NODE_MS);
+        self.nodes.retain(|node| now < node.heard_at + NODE_RETENTION_MS);
         self.replicas.retain(|replica| {
             if replica.remembered_until.is_some_and(|until| now >= until) {
                 return false;
             }
-            let keep = match replica.state {
-                State::Ready => FORGET_REPLICA_MS,
-                State::Leaving | State::Gone => TOMBSTONE_MS,
+            let retention_ms = match replica.state {
+                State::Ready => REPLICA_RETENTION_MS,
+                State::Leaving | State::Gone => TOMBSTONE_RETENTION_MS,
             };
-            now < replica.heard_at + keep
+            now < replica.heard_at + retention_ms
         });
-        self.left.retain(|(_, at)| now < at + TOMBSTONE_MS);
+        self.departures.retain(|(_, at)| now < at + TOMBSTONE_RETENTION_MS);
         self.counts.expire();
     }
 }
--- a/src/mesh/lives.rs
+++ b/src/mesh/lives.rs
@@ -17,26 +17,26 @@
 /// Time for which a replica that is remembered from before this node started
 /// is used without a heartbeat, in ms. It covers one heartbeat interval and
 /// the delay of a heartbeat.
-const REMEMBERED_MS: u64 = 2000;
+const REMEMBERED_REPLICA_TIMEOUT_MS: u64 = 2000;
 /// Time for which every datagram lists a leaving or departed replica, in ms.
 /// Several such datagrams reach each node in that time, also where many nodes
 /// take turns.
-const TELL_LEFT_MS: u64 = 2500;
+const DEPARTURE_REPORT_MS: u64 = 2500;
 /// Leaving or departed replicas in one datagram.
-const LEFT_PER_DATAGRAM: usize = 64;
+const DEPARTURES_PER_DATAGRAM: usize = 64;
 /// Silence of the current incarnation after which an incarnation with an
 /// earlier start time replaces it, in ms. Before that, a heartbeat with an
 /// earlier start time is taken for a late one of a former incarnation. After
 /// that, the VM's clock has jumped back between the two starts. It is longer
 /// than the usual delay of heartbeats; a replica whose clock has jumped back
 /// is not used for that time.
-const SILENT_LIFE_MS: u64 = 10_000;
+const CLOCK_JUMP_SILENCE_MS: u64 = 10_000;
 /// Time after a departure notice without a start time during which the notice
 /// also applies to an incarnation that is heard for the first time, in ms.
 /// Heartbeats may be delayed by seconds.
-const GOODBYE_MS: u64 = 3000;
+const DEPARTURE_NOTICE_MS: u64 = 3000;
 /// Separates a replica's id from the start time of an incarnation.
-const LIFE: char = '@';
+const INCARNATION_SEPARATOR: char = '@';
 
 /// What is known of an incarnation since a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -62,15 +62,16 @@
 /// nothing that is stored by id (caches, load, failures, connections, holds)
 /// passes from one incarnation to the next.
 pub fn life_name(replica: &str, born: u64) -> String {
-    if born == 0 && !replica.contains(LIFE) {
+    if born == 0 && !replica.contains(INCARNATION_SEPARATOR) {
         return replica.to_owned();
     }
-    format!("{replica}{LIFE}{born}")
+    format!("{replica}{INCARNATION_SEPARATOR}{born}")
 }
 
 /// Returns the replica id that is part of an incarnation's id.
 pub fn replica_of(life: &str) -> &str {
-    life.rsplit_once(LIFE).map_or(life, |(replica, _)| replica)
+    life.rsplit_once(INCARNATION_SEPARATOR)
+        .map_or(life, |(replica, _)| replica)
 }
 
 /// Returns the number that identifies an incarnation between nodes.
@@ -80,44 +81,51 @@
 
 impl Table {
     /// Applies a heartbeat. Returns true if other nodes need to know of it.
-    pub fn sight(&mut self, now: u64, says: Sighting, direct: bool) -> bool {
+    pub fn sight(
+        &mut self,
+        now: u64,
+        says: Sighting,
+        is_direct: bool,
+    ) -> bool {
         if says.remembered {
-            self.remember(now, says);
+            self.add_remembered(now, says);
             return false;
         }
-        if self.says_nothing_new(&says) {
+        if self.is_repeated(&says) {
             return false;
         }
-        let says = self.with_present_life(says);
+        let says = self.with_current_incarnation(says);
         let heard_at = now.saturating_sub(u64::from(says.age_ms));
-        if self.is_outlived(heard_at, &says) {
+        if self.is_late(heard_at, &says) {
             return false;
         }
-        self.forget_end(&says);
-        self.end_former_lives(now, &says);
+        self.revive(&says);
+        self.supersede_others(now, &says);
         let mut state = State::from_u32(says.state);
         let hash = replica_hash(&says.id);
-        let left = self.has_left(hash) || self.said_goodbye(now, &says);
+        let has_departed =
+            self.has_departure(hash) || self.has_departure_notice(now, &says);
         if state != State::Ready {
-            self.note_left(now, hash);
-        } else if left {
+            self.record_departure(now, hash);
+        } else if has_departed {
             // The departure is known already, so this heartbeat is older.
             state = State::Leaving;
         }
-        let found = position(&self.replicas, says.id.as_str(), |one| {
-            one.says.id.as_str()
+        let found = position(&self.replicas, says.id.as_str(), |known| {
+            known.says.id.as_str()
         });
         match found {
-            Ok(at) => self.replicas[at].renew(says, state, heard_at, direct),
+            Ok(at) => self.replicas[at]
+                .apply_sighting(says, state, heard_at, is_direct),
             Err(_) if state == State::Gone && says.service.is_empty() => {
                 // A departure notice of an unknown replica. Its entry keeps a
                 // late heartbeat from adding the replica.
-                self.add(now, says, state, heard_at, direct);
+                self.add_replica(now, says, state, heard_at, is_direct);
                 true
             }
             Err(_) if says.service.is_empty() => false,
             Err(_) => {
-                self.add(now, says, state, heard_at, direct);
+                self.add_replica(now, says, state, heard_at, is_direct);
                 true
             }
         }
@@ -126,9 +134,9 @@
     /// Returns true for a ready incarnation's heartbeat that is not newer than
     /// the known one. With many replicas, most of what nodes repeat to each
     /// other is of this kind.
-    fn says_nothing_new(&self, says: &Sighting) -> bool {
-        let found = position(&self.replicas, says.id.as_str(), |one| {
-            one.says.id.as_str()
+    fn is_repeated(&self, says: &Sighting) -> bool {
+        let found = position(&self.replicas, says.id.as_str(), |known| {
+            known.says.id.as_str()
         });
         found.is_ok_and(|at| {
             let known = &self.replicas[at];
@@ -141,17 +149,17 @@
 
     /// Assigns a departure notice without a start time to the current
     /// incarnation.
-    fn with_present_life(&self, says: Sighting) -> Sighting {
+    fn with_current_incarnation(&self, says: Sighting) -> Sighting {
         if says.born != 0 || State::from_u32(says.state) != State::Gone {
             return says;
         }
-        let lives = self.lives(replica_of(&says.id));
-        let present =
-            lives.max_by_key(|one| (one.state != State::Gone, one.says.born));
-        match present {
-            Some(life) => Sighting {
-                id: life.says.id.clone(),
-                born: life.says.born,
+        let incarnations = self.incarnations(replica_of(&says.id));
+        let current = incarnations
+            .max_by_key(|known| (known.state != State::Gone, known.says.born));
+        match current {
+            Some(current) => Sighting {
+                id: current.says.id.clone(),
+                born: current.says.born,
                 ..says
             },
             None => says,
@@ -161,36 +169,40 @@
     /// Returns the incarnation that this heartbeat supersedes, if there is
     /// one.
     pub fn former_life(&self, says: &Sighting) -> Option<String> {
-        self.present_besides(says).map(|one| one.says.id.clone())
+        self.other_current(says).map(|known| known.says.id.clone())
     }
 
     /// Returns what is known of an incarnation since a given time, which must
     /// not be longer ago than replicas are remembered.
     pub fn fate(&self, life: &str, since: u64) -> Fate {
-        let heard = |one: &&Replica| one.heard_at > since;
-        let found = position(&self.replicas, life, |one| one.says.id.as_str());
+        let heard = |known: &&Replica| known.heard_at > since;
+        let found =
+            position(&self.replicas, life, |known| known.says.id.as_str());
         let Ok(at) = found else { return Fate::Unknown };
         let own = &self.replicas[at];
         let others =
-            || self.replicas.iter().filter(|one| one.hash != own.hash);
-        let follows = |one: &Replica| {
-            let is_life = replica_of(&one.says.id) == replica_of(life);
-            let place = (one.says.ip, one.says.port);
-            is_life || place == (own.says.ip, own.says.port)
+            || self.replicas.iter().filter(|known| known.hash != own.hash);
+        let supersedes = |known: &Replica| {
+            let is_incarnation =
+                replica_of(&known.says.id) == replica_of(life);
+            let address = (known.says.ip, known.says.port);
+            is_incarnation || address == (own.says.ip, own.says.port)
         };
-        let is_followed = others()
-            .filter(|one| {
-                one.state == State::Ready && one.since > own.heard_at
+        let is_superseded = others()
+            .filter(|known| {
+                known.state == State::Ready && known.since > own.heard_at
             })
             .filter(heard)
-            .any(follows);
+            .any(supersedes);
         match own.state {
             // Its own announcement takes precedence over what was heard later.
             State::Leaving => Fate::Leaves,
-            _ if is_followed => Fate::Followed,
+            _ if is_superseded => Fate::Followed,
             State::Gone => Fate::Leaves,
             State::Ready if heard(&own) => Fate::Lives,
-            State::Ready if others().any(|one| heard(&one)) => Fate::Silent,
+            State::Ready if others().any(|known| heard(&known)) => {
+                Fate::Silent
+            }
             State::Ready => Fate::Unknown,
         }
     }
@@ -198,79 +210,84 @@
     /// Returns whether an incarnation was heard since a given time, or
     /// announced that it leaves.
     pub fn has_spoken(&self, hash: u64, since: u64) -> bool {
-        let own = self.replicas.iter().find(|one| one.hash == hash);
-        own.is_some_and(|one| {
-            one.heard_at > since || one.state == State::Leaving
+        let own = self.replicas.iter().find(|known| known.hash == hash);
+        own.is_some_and(|known| {
+            known.heard_at > since || known.state == State::Leaving
         })
     }
 
     /// Returns when an incarnation was last heard at any node, if it is known.
     pub fn last_heard(&self, life: &str) -> Option<u64> {
-        let found = position(&self.replicas, life, |one| one.says.id.as_str());
+        let found =
+            position(&self.replicas, life, |known| known.says.id.as_str());
         found.ok().map(|at| self.replicas[at].heard_at)
     }
 
     /// Returns the positions of a replica's incarnations.
-    fn lives_at(&self, replica: &str) -> impl Iterator<Item = usize> + use<> {
+    fn incarnation_positions(
+        &self,
+        replica: &str,
+    ) -> impl Iterator<Item = usize> + use<> {
         // An incarnation that never reported its start time has the replica's
         // id.
-        let untold =
-            position(&self.replicas, replica, |one| one.says.id.as_str());
-        let told = format!("{replica}{LIFE}");
+        let without_start =
+            position(&self.replicas, replica, |known| known.says.id.as_str());
+        let prefix = format!("{replica}{INCARNATION_SEPARATOR}");
         let from = self
             .replicas
-            .partition_point(|one| one.says.id.as_str() < told.as_str());
+            .partition_point(|known| known.says.id.as_str() < prefix.as_str());
         let count = self.replicas[from..]
             .iter()
-            .take_while(|one| one.says.id.starts_with(&told))
+            .take_while(|known| known.says.id.starts_with(&prefix))
             .count();
-        untold.ok().into_iter().chain(from..from + count)
+        without_start.ok().into_iter().chain(from..from + count)
     }
 
-    fn lives(&self, replica: &str) -> impl Iterator<Item = &Replica> {
-        self.lives_at(replica).map(|at| &self.replicas[at])
+    fn incarnations(&self, replica: &str) -> impl Iterator<Item = &Replica> {
+        self.incarnation_positions(replica).map(|at| &self.replicas[at])
     }
 
-    /// Returns true for a late heartbeat, sent at `said_at`, of an incarnation
+    /// Returns true for a late heartbeat, sent at `sent_at`, of an incarnation
     /// that has been superseded.
     ///
     /// A departed incarnation becomes current again only when the one that
     /// superseded it has been silent for long, which shows that the heartbeat
     /// of the latter was the late one.
-    fn is_outlived(&self, said_at: u64, says: &Sighting) -> bool {
-        let has_ended = self.has_ended(says);
-        match self.present_besides(says) {
-            Some(present) => {
-                (has_ended || present.says.born > says.born)
-                    && said_at < present.heard_at + SILENT_LIFE_MS
+    fn is_late(&self, sent_at: u64, says: &Sighting) -> bool {
+        let is_marked_departed = self.is_marked_departed(says);
+        match self.other_current(says) {
+            Some(current) => {
+                (is_marked_departed || current.says.born > says.born)
+                    && sent_at < current.heard_at + CLOCK_JUMP_SILENCE_MS
             }
-            None => has_ended,
+            None => is_marked_departed,
         }
     }
 
-    fn has_ended(&self, says: &Sighting) -> bool {
+    fn is_marked_departed(&self, says: &Sighting) -> bool {
         says.born != 0
-            && self.lives(replica_of(&says.id)).any(|one| {
-                one.says.born == says.born && one.state == State::Gone
+            && self.incarnations(replica_of(&says.id)).any(|known| {
+                known.says.born == says.born && known.state == State::Gone
             })
     }
 
     /// Returns the replica's other incarnation that has not departed. There is
     /// at most one, because each heartbeat supersedes the other incarnations.
-    fn present_besides(&self, says: &Sighting) -> Option<&Replica> {
-        self.lives(replica_of(&says.id))
-            .find(|one| one.says.born != says.born && one.state != State::Gone)
+    fn other_current(&self, says: &Sighting) -> Option<&Replica> {
+        self.incarnations(replica_of(&says.id)).find(|known| {
+            known.says.born != says.born && known.state != State::Gone
+        })
     }
 
     /// Revives an incarnation that was superseded by a late heartbeat of
     /// another one.
-    fn forget_end(&mut self, says: &Sighting) {
-        if !self.has_ended(says) {
+    fn revive(&mut self, says: &Sighting) {
+        if !self.is_marked_departed(says) {
             return;
         }
-        self.replicas.retain(|one| one.says.id != says.id);
+        self.replicas.retain(|known| known.says.id != says.id);
         let hash = replica_hash(&says.id);
-        self.left.retain(|(left, _)| *left != hash);
+        self.departures.retain(|(departed, _)| *departed != hash);
     }
 
     /// Marks the replica's other incarnations as departed.
@@ -278,34 +295,34 @@
     /// A replica that crashes and restarts does not report the crash. Without
     /// this, requests would be sent to its former incarnation until that has
     /// been silent for seconds.
-    fn end_former_lives(&mut self, now: u64, says: &Sighting) {
-        let lives = self.lives_at(replica_of(&says.id));
-        for at in lives {
-            let one = &mut self.replicas[at];
-            if one.says.born == says.born || one.state == State::Gone {
+    fn supersede_others(&mut self, now: u64, says: &Sighting) {
+        let incarnations = self.incarnation_positions(replica_of(&says.id));
+        for at in incarnations {
+            let replica = &mut self.replicas[at];
+            if replica.says.born == says.born || replica.state == State::Gone {
                 continue;
             }
-            one.state = State::Gone;
-            one.says.state = State::Gone as u32;
-            one.left_at = now;
-            let hash = one.hash;
-            self.note_left(now, hash);
+            replica.state = State::Gone;
+            replica.says.state = State::Gone as u32;
+            replica.left_at = now;
+            let hash = replica.hash;
+            self.record_departure(now, hash);
         }
     }
 
-    pub(super) fn has_left(&self, hash: u64) -> bool {
-        position(&self.left, &hash, |(hash, _)| hash).is_ok()
+    pub(super) fn has_departure(&self, hash: u64) -> bool {
+        position(&self.departures, &hash, |(hash, _)| hash).is_ok()
     }
 
     /// Returns true if a departure notice without a start time has just been
     /// received for the replica.
-    fn said_goodbye(&self, now: u64, says: &Sighting) -> bool {
+    fn has_departure_notice(&self, now: u64, says: &Sighting) -> bool {
         if says.born == 0 {
             return false;
         }
         let hash = replica_hash(replica_of(&says.id));
-        position(&self.left, &hash, |(hash, _)| hash)
-            .is_ok_and(|at| now < self.left[at].1 + GOODBYE_MS)
+        position(&self.departures, &hash, |(hash, _)| hash)
+            .is_ok_and(|at| now < self.departures[at].1 + DEPARTURE_NOTICE_MS)
     }
 
     /// Adds a replica that is remembered from before this node started.
@@ -316,12 +333,13 @@
     /// the remembered replicas is safe, because each request names the replica
     /// that it is meant for and another replica at its address does not run
     /// it.
-    pub fn remember(&mut self, now: u64, says: Sighting) {
-        let known = self.lives(replica_of(&says.id)).next().is_some();
+    pub fn add_remembered(&mut self, now: u64, says: Sighting) {
+        let is_known =
+            self.incarnations(replica_of(&says.id)).next().is_some();
         let hash = replica_hash(&says.id);
-        let left = self.has_left(hash);
-        let ready = State::from_u32(says.state) == State::Ready;
-        if known || left || !ready || says.service.is_empty() {
+        let has_departed = self.has_departure(hash);
+        let is_ready = State::from_u32(says.state) == State::Ready;
+        if is_known || has_departed || !is_ready || says.service.is_empty() {
             return;
         }
         let replica = Replica {
@@ -330,12 +348,12 @@
             heard_at: now,
             since: now,
             left_at: now,
-            remembered_until: Some(now + REMEMBERED_MS),
-            tell: 0,
-            tell_whole: 0,
+            remembered_until: Some(now + REMEMBERED_REPLICA_TIMEOUT_MS),
+            pending_sends: 0,
+            pending_full_sends: 0,
             hash,
         };
-        upsert(&mut self.replicas, replica, |one| one.says.id.as_str());
+        upsert(&mut self.replicas, replica, |known| known.says.id.as_str());
     }
 
     /// Returns the usable replicas, to send to a starting node.
@@ -343,16 +361,16 @@
         let usable = self.replicas.iter().filter(|replica| {
             replica.state == State::Ready && replica.may_be_used(now)
         });
-        usable.map(|replica| replica.aged(now)).collect()
+        usable.map(|replica| replica.to_sighting(now)).collect()
     }
 
     /// Records that a replica is leaving or has departed. Returns true if that
     /// is new.
-    pub(super) fn note_left(&mut self, now: u64, hash: u64) -> bool {
-        match position(&self.left, &hash, |(hash, _)| hash) {
+    pub(super) fn record_departure(&mut self, now: u64, hash: u64) -> bool {
+        match position(&self.departures, &hash, |(hash, _)| hash) {
             Ok(_) => false,
             Err(at) => {
-                self.left.insert(at, (hash, now));
+                self.departures.insert(at, (hash, now));
                 true
             }
         }
@@ -360,14 +378,14 @@
 
     /// Applies another node's report that a replica is leaving or has
     /// departed. Returns true if the replica was ready here.
-    pub(super) fn hear_left(&mut self, now: u64, hash: u64) -> bool {
-        if !self.note_left(now, hash) {
+    pub(super) fn apply_departure(&mut self, now: u64, hash: u64) -> bool {
+        if !self.record_departure(now, hash) {
             return false;
         }
-        let ready = self.replicas.iter_mut().find(|one| {
-            let replica = replica_of(&one.says.id);
-            one.state == State::Ready
-                && (one.hash == hash || replica_hash(replica) == hash)
+        let ready = self.replicas.iter_mut().find(|known| {
+            let replica = replica_of(&known.says.id);
+            known.state == State::Ready
+                && (known.hash == hash || replica_hash(replica) == hash)
         });
         let Some(replica) = ready else { return false };
         replica.state = State::Leaving;
@@ -378,28 +396,28 @@
 
     /// Returns replicas that have left recently, for a datagram. If they don't
     /// fit, they take turns.
-    pub(super) fn lately_left(&mut self, now: u64) -> Vec<u64> {
-        let lately: Vec<u64> = self
-            .left
+    pub(super) fn next_departures(&mut self, now: u64) -> Vec<u64> {
+        let recent: Vec<u64> = self
+            .departures
             .iter()
-            .filter(|(_, at)| now < at + TELL_LEFT_MS)
+            .filter(|(_, at)| now < at + DEPARTURE_REPORT_MS)
             .map(|(hash, _)| *hash)
             .collect();
-        let count = lately.len().min(LEFT_PER_DATAGRAM);
-        let from = self.next_left;
-        self.next_left = self.next_left.wrapping_add(count);
-        (0..count).map(|step| lately[(from + step) % lately.len()]).collect()
+        let count = recent.len().min(DEPARTURES_PER_DATAGRAM);
+        let from = self.next_departure;
+        self.next_departure = self.next_departure.wrapping_add(count);
+        (0..count).map(|step| recent[(from + step) % recent.len()]).collect()
     }
 
-    fn add(
+    fn add_replica(
         &mut self,
         now: u64,
         says: Sighting,
         state: State,
         heard_at: u64,
-        direct: bool,
+        is_direct: bool,
     ) {
-        let tell = if direct { u32::MAX } else { 0 };
+        let sends = if is_direct { u32::MAX } else { 0 };
         let replica = Replica {
             hash: replica_hash(&says.id),
             says,
@@ -411,9 +429,9 @@
             // Only the node that received the heartbeat directly sends it to
             // all other nodes. If the others did so too, every node would send
             // every replica to a node that starts.
-            tell,
-            tell_whole: tell,
+            pending_sends: sends,
+            pending_full_sends: sends,
         };
-        upsert(&mut self.replicas, replica, |one| one.says.id.as_str());
+        upsert(&mut self.replicas, replica, |known| known.says.id.as_str());
     }
 }
--- a/src/mesh/mod.rs
+++ b/src/mesh/mod.rs
@@ -1,10 +1,10 @@
 //! Spreads information on nodes, replicas and usage between nodes by gossip.
 //!
 //! Nodes that take callers' requests send each other reports over UDP, a few
-//! times a second. With many nodes, the other nodes are on standby and each
-//! regularly asks one of the former. Datagrams may be lost and are not sent
-//! again: each contains the current state and not the changes, so the next one
-//! makes up for a lost one.
+//! times a second. Where there are many nodes, the remaining ones are on
+//! standby, and each regularly queries a node that takes requests. Datagrams
+//! may be lost and are not sent again: each contains the current state rather
+//! than changes, so the next datagram makes up for a lost one.
 //!
 //! Urgent information (a replica leaves, a node stops) is sent at once, and
 //! again in the regular datagrams that follow.
@@ -46,7 +46,7 @@
 
 use self::{
     role::Role,
-    round::{Round, Sending},
+    round::{Datagram, Round},
     table::{News, Own, Table},
 };
 use crate::{
@@ -60,11 +60,11 @@
 /// With this interval, a quota that all nodes overdraw at once is noticed
 /// within a third of a second, and each of ten nodes receives thirty datagrams
 /// a second.
-const PERIOD: Duration = Duration::from_millis(300);
+const ROUND_INTERVAL: Duration = Duration::from_millis(300);
 /// Delay before an urgent round, so that several changes share one.
-const URGENT_PAUSE: Duration = Duration::from_millis(10);
+const URGENT_ROUND_DELAY: Duration = Duration::from_millis(10);
 /// Rounds between two greetings of all silent nodes.
-const SILENT_ROUNDS: u64 = 4;
+const GREETING_INTERVAL_ROUNDS: u64 = 4;
 /// Nodes that receive a full datagram in one round. If there are more nodes,
 /// they take turns.
 const FANOUT: usize = 16;
@@ -73,22 +73,22 @@
 /// them takes 0.4 of 10 Mbit/s and a hundredth of a core.
 const LOAD_FANOUT: usize = 64;
 /// Maximum length of a received datagram, in bytes.
-const LONGEST: usize = 16 * 1024;
+const MAX_DATAGRAM_BYTES: usize = 16 * 1024;
 
 /// Returns the mean propagation delay of reports between this number of nodes,
 /// in ms, for everything but requests in flight.
 pub fn mean_lag_ms(nodes: usize) -> f64 {
-    lag_ms(nodes, FANOUT)
+    propagation_delay_ms(nodes, FANOUT)
 }
 
 /// Returns the mean propagation delay of requests in flight, in ms.
 pub fn load_lag_ms(nodes: usize) -> f64 {
-    lag_ms(nodes, LOAD_FANOUT)
+    propagation_delay_ms(nodes, LOAD_FANOUT)
 }
 
-fn lag_ms(nodes: usize, told: usize) -> f64 {
-    let rounds = nodes.saturating_sub(1).div_ceil(told).max(1);
-    rounds as f64 * PERIOD.as_millis() as f64 / 2.0
+fn propagation_delay_ms(nodes: usize, fanout: usize) -> f64 {
+    let rounds = nodes.saturating_sub(1).div_ceil(fanout).max(1);
+    rounds as f64 * ROUND_INTERVAL.as_millis() as f64 / 2.0
 }
 
 /// Configuration of the mesh.
@@ -179,8 +179,8 @@
         timer,
     });
     let tasks = vec![
-        tokio::spawn(receive(shared.clone(), host.clone())),
-        tokio::spawn(tell(shared.clone(), host)),
+        tokio::spawn(receive_datagrams(shared.clone(), host.clone())),
+        tokio::spawn(send_rounds(shared.clone(), host)),
     ];
     Ok(Handle { shared, tasks: Arc::new(Tasks(tasks)) })
 }
@@ -198,8 +198,11 @@
 
     /// Replaces the seeds, for example after a change of settings.
     pub fn set_seeds(&self, seeds: Vec<Ipv4Addr>) {
-        *self.shared.seeds.lock().unwrap_or_else(|held| held.into_inner()) =
-            seeds;
+        *self
+            .shared
+            .seeds
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner()) = seeds;
         self.urge();
     }
 
@@ -213,15 +216,15 @@
 
 impl Shared {
     fn table(&self) -> MutexGuard<'_, Table> {
-        self.table.lock().unwrap_or_else(|held| held.into_inner())
+        self.table.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     /// Drops expired entries and updates the role of this node.
-    fn review(&self, begun: u64) -> News {
+    fn update_role(&self, begun: u64) -> News {
         let now = self.timer.now();
         let mut table = self.table();
         table.expire(now);
-        let Some(before) = table.review(now, begun) else {
+        let Some(before) = table.update_role(now, begun) else {
             return News::default();
         };
         let role = Role::of(table.own());
@@ -239,8 +242,8 @@
     }
 
     fn seeds(&self) -> Vec<Ipv4Addr> {
-        let held = self.seeds.lock();
-        held.unwrap_or_else(|held| held.into_inner()).clone()
+        let seeds = self.seeds.lock();
+        seeds.unwrap_or_else(|poisoned| poisoned.into_inner()).clone()
     }
 
     async fn send(&self, datagram: &[u8], to: Ipv4Addr) {
@@ -253,8 +256,8 @@
     }
 }
 
-async fn receive(shared: Arc<Shared>, host: Arc<dyn Host>) {
-    let mut buffer = vec![0; LONGEST];
+async fn receive_datagrams(shared: Arc<Shared>, host: Arc<dyn Host>) {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let (length, from) = match shared.socket.recv_from(&mut buffer).await {
             Ok(received) => received,
@@ -262,7 +265,7 @@
                 // A datagram of ours that was refused is reported here as an
                 // error. The socket remains usable.
                 debug!(target: "mesh", "Can't receive datagram: {error}.");
-                sleep(URGENT_PAUSE).await;
+                sleep(URGENT_ROUND_DELAY).await;
                 continue;
             }
         };
@@ -270,18 +273,19 @@
             warn!(target: "mesh", "Can't decode datagram from {from}.");
             continue;
         };
-        let asked = gossip.from.clone().filter(|_| gossip.hello);
+        let asker = gossip.from.clone().filter(|_| gossip.hello);
         let cached = std::mem::take(&mut gossip.cached);
         if !cached.is_empty() {
             host.cached(cached);
         }
         let from_node = gossip.from.as_ref();
-        let stands_by = from_node.is_some_and(|node| !Role::is_member(node));
+        let is_from_standby =
+            from_node.is_some_and(|node| !Role::is_member(node));
         if !gossip.suspected.is_empty() {
-            host.suspected(&gossip.suspected, stands_by);
+            host.suspected(&gossip.suspected, is_from_standby);
         }
         if !gossip.crashes.is_empty() || !gossip.successes.is_empty() {
-            host.suspects(&gossip.crashes, &gossip.successes, stands_by);
+            host.suspects(&gossip.crashes, &gossip.successes, is_from_standby);
         }
         if !gossip.limits.is_empty() {
             host.limits(&gossip.limits);
@@ -291,46 +295,46 @@
         if news != News::default() {
             host.clone().news(news);
         }
-        if let (Some(asked), SocketAddr::V4(from)) = (asked, from) {
+        if let (Some(asker), SocketAddr::V4(from)) = (asker, from) {
             // Called before the table is locked, because the host takes other
             // locks.
             let own = host.own();
             let wall_ms = wall_ms() as i64;
-            let answer = shared.table().answer(now, wall_ms, own, &asked);
+            let answer = shared.table().answer(now, wall_ms, own, &asker);
             shared.send(&answer.encode_to_vec(), *from.ip()).await;
         }
     }
 }
 
-async fn tell(shared: Arc<Shared>, host: Arc<dyn Host>) {
-    let mut period = interval(PERIOD);
-    period.set_missed_tick_behavior(MissedTickBehavior::Delay);
+async fn send_rounds(shared: Arc<Shared>, host: Arc<dyn Host>) {
+    let mut ticks = interval(ROUND_INTERVAL);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut round = 0;
     loop {
-        let regular = tokio::select! {
-            _ = period.tick() => true,
+        let is_regular = tokio::select! {
+            _ = ticks.tick() => true,
             () = shared.urgent.notified() => {
-                sleep(URGENT_PAUSE).await;
+                sleep(URGENT_ROUND_DELAY).await;
                 false
             }
         };
         // Called before the table is locked, because the host takes other
         // locks.
         let own = host.own();
-        if regular {
+        if is_regular {
             round += 1;
-            let news = shared.review(own.begun);
+            let news = shared.update_role(own.begun);
             host.clone().news(news);
         }
         let round = Round {
             now: shared.timer.now(),
             wall_ms: wall_ms() as i64,
             number: round,
-            is_urgent: !regular,
+            is_urgent: !is_regular,
         };
         let seeds = shared.seeds();
-        let sendings = shared.table().round(round, own, &seeds);
-        for Sending { to, gossip } in sendings {
+        let datagrams = shared.table().round(round, own, &seeds);
+        for Datagram { to, gossip } in datagrams {
             let bytes = gossip.encode_to_vec();
             for to in to {
                 shared.send(&bytes, to).await;
--- a/src/mesh/replica.rs
+++ b/src/mesh/replica.rs
@@ -7,7 +7,7 @@
 
 /// Time for which other replicas may fetch from the cache of a leaving
 /// replica, in ms. Replicas on reclaimed VMs stop after two to three seconds.
-const FETCHABLE_MS: u64 = 2000;
+const LEAVING_CACHE_FETCH_MS: u64 = 2000;
 
 common! {
     copy
@@ -51,10 +51,10 @@
         pub remembered_until: Option<u64>,
         /// Number of datagrams that still include it first, because this node
         /// receives its heartbeats or because its state has changed.
-        pub(super) tell: u32,
+        pub(super) pending_sends: u32,
         /// Number of these that include all its fields, because other nodes
         /// may not know them.
-        pub(super) tell_whole: u32,
+        pub(super) pending_full_sends: u32,
         /// Hash of its id.
         pub(super) hash: u64,
     }
@@ -74,47 +74,47 @@
         }
         match self.state {
             State::Ready => true,
-            State::Leaving => now < self.left_at + FETCHABLE_MS,
+            State::Leaving => now < self.left_at + LEAVING_CACHE_FETCH_MS,
             State::Gone => false,
         }
     }
 
     /// Applies a heartbeat. Returns true if the state has changed.
-    pub(super) fn renew(
+    pub(super) fn apply_sighting(
         &mut self,
         says: Sighting,
         state: State,
         heard_at: u64,
-        direct: bool,
+        is_direct: bool,
     ) -> bool {
-        let newer = says.sequence > self.says.sequence;
-        if newer {
+        let is_newer = says.sequence > self.says.sequence;
+        if is_newer {
             self.heard_at = self.heard_at.max(heard_at);
             self.remembered_until = None;
         }
-        let moved = state > self.state;
-        if moved {
+        let has_new_state = state > self.state;
+        if has_new_state {
             self.state = state;
             self.left_at = heard_at;
         }
-        let mut differs = moved;
-        if newer && !says.service.is_empty() {
-            differs |= self.differs(&says);
+        let mut differs = has_new_state;
+        if is_newer && !says.service.is_empty() {
+            differs |= self.differs_from(&says);
             self.says = says;
         }
         self.says.state = self.state as u32;
-        if moved || (newer && direct) {
-            self.tell = u32::MAX;
+        if has_new_state || (is_newer && is_direct) {
+            self.pending_sends = u32::MAX;
         }
-        if moved || (differs && direct) {
-            self.tell_whole = u32::MAX;
+        if has_new_state || (differs && is_direct) {
+            self.pending_full_sends = u32::MAX;
         }
-        moved
+        has_new_state
     }
 
     /// Returns true if anything but the sequence number and the state has
     /// changed.
-    fn differs(&self, says: &Sighting) -> bool {
+    fn differs_from(&self, says: &Sighting) -> bool {
         let known = &self.says;
         known.ip != says.ip
             || known.port != says.port
@@ -125,7 +125,12 @@
     }
 
     /// Applies a relayed heartbeat.
-    pub(super) fn beat(&mut self, now: u64, beat: &Beat, direct: bool) {
+    pub(super) fn apply_beat(
+        &mut self,
+        now: u64,
+        beat: &Beat,
+        is_direct: bool,
+    ) {
         if beat.sequence <= self.says.sequence || self.state != State::Ready {
             return;
         }
@@ -133,8 +138,8 @@
         self.heard_at = self.heard_at.max(heard_at);
         self.remembered_until = None;
         self.says.sequence = beat.sequence;
-        if direct {
-            self.tell = u32::MAX;
+        if is_direct {
+            self.pending_sends = u32::MAX;
         }
     }
 
@@ -148,9 +153,9 @@
     }
 
     /// Returns its fields for other nodes, with the present age.
-    pub(super) fn aged(&self, now: u64) -> Sighting {
-        let age = now.saturating_sub(self.heard_at);
+    pub(super) fn to_sighting(&self, now: u64) -> Sighting {
+        let age_ms = now.saturating_sub(self.heard_at);
         let remembered = self.remembered_until.is_some();
-        Sighting { age_ms: age as u32, remembered, ..self.says.clone() }
+        Sighting { age_ms: age_ms as u32, remembered, ..self.says.clone() }
     }
 }
--- a/src/mesh/round.rs
+++ b/src/mesh/round.rs
@@ -5,9 +5,9 @@
 use rand::seq::IndexedRandom;
 
 use super::{
-    FANOUT, LOAD_FANOUT, SILENT_ROUNDS,
+    FANOUT, GREETING_INTERVAL_ROUNDS, LOAD_FANOUT,
     datagram::Scope,
-    role::{ADDRESSES, Role},
+    role::{MAX_ADDRESSES, Role},
     table::{Node, Own, Table},
 };
 use crate::{
@@ -15,29 +15,30 @@
     wire::{Gossip, Peer},
 };
 
-/// Rounds between two requests of a standby node to other nodes.
-const STANDBY_ROUNDS: u64 = 2;
+/// Interval at which a standby node queries another node, in rounds.
+const STANDBY_QUERY_INTERVAL_ROUNDS: u64 = 2;
 /// Number of silent nodes up to which they are greeted in each round. If there
-/// are more, they are greeted only every [`SILENT_ROUNDS`].
-const FEW_SILENT: usize = 3;
+/// are more, they are greeted only every
+/// [`GREETING_INTERVAL_ROUNDS`] rounds.
+const MAX_SILENT_GREETED_EACH_ROUND: usize = 3;
 /// Silent nodes that are greeted at a time: as many as receive a full datagram
 /// in a round.
-const GREETED: usize = FANOUT;
-/// Number of heard nodes from which a standby node does not greet seeds.
-const ENOUGH_HEARD: usize = 4;
+const GREETINGS_PER_ROUND: usize = FANOUT;
+/// Number of heard nodes from which a standby node greets no seeds.
+const MIN_HEARD_WITHOUT_SEEDS: usize = 4;
 /// Time since the last report of a standby node within which it receives
 /// urgent datagrams, in ms. Each standby node asks another node every 0.6 s.
-const STANDBY_MS: u64 = 10_000;
+const MAX_STANDBY_REPORT_AGE_MS: u64 = 10_000;
 /// Standby nodes that receive an urgent datagram from one node. About forty
 /// nodes send it, so that most of three hundred receive it once.
-const URGENT_STANDBYS: usize = 8;
+const URGENT_STANDBY_FANOUT: usize = 8;
 /// Number of active nodes up to which callers are sent to all of them, in any
 /// data centre, because each is a large part of the capacity.
-const FEW: usize = 24;
+const MAX_ACTIVE_FOR_ALL_CALLERS: usize = 24;
 /// Minimum number of active nodes in a data centre for its callers to be sent
 /// to no other one. With fewer, the loss of one leaves too much load to the
 /// rest.
-const LEAST_NEAR: usize = 4;
+const MIN_ACTIVE_IN_DATA_CENTRE: usize = 4;
 
 /// Time and kind of a round.
 #[derive(Clone, Copy, Debug)]
@@ -55,7 +56,7 @@
 
 /// A datagram and its recipients.
 #[derive(Clone, Debug)]
-pub struct Sending {
+pub struct Datagram {
     /// Addresses of the recipients.
     pub to: Vec<Ipv4Addr>,
     /// Content of the datagram.
@@ -69,18 +70,18 @@
         round: Round,
         own: Own,
         seeds: &[Ipv4Addr],
-    ) -> Vec<Sending> {
-        let mut sendings = match (self.is_member(), round.is_urgent) {
-            (true, false) => self.round_of_member(round, own),
-            (true, true) => self.urgent_of_member(round, own),
-            (false, false) => self.round_of_standby(round, own),
-            (false, true) => self.urgent_of_standby(round),
+    ) -> Vec<Datagram> {
+        let mut datagrams = match (self.is_member(), round.is_urgent) {
+            (true, false) => self.member_round(round, own),
+            (true, true) => self.urgent_member_round(round, own),
+            (false, false) => self.standby_round(round, own),
+            (false, true) => self.urgent_standby_round(round),
         };
-        if let Some(greeting) = self.greet(round, seeds) {
-            sendings.push(greeting);
+        if let Some(greeting) = self.compose_greeting(round, seeds) {
+            datagrams.push(greeting);
         }
-        sendings.retain(|sending| !sending.to.is_empty());
-        sendings
+        datagrams.retain(|datagram| !datagram.to.is_empty());
+        datagrams
     }
 
     /// Sends a full datagram to some of the members, in turn, and only the
@@ -89,7 +90,7 @@
     /// The latter takes a tenth of the bytes and contains what routing depends
     /// on: with reports that are 0.5 s old instead of 0.15 s, forty nodes send
     /// requests to the same idle replicas.
-    fn round_of_member(&mut self, round: Round, own: Own) -> Vec<Sending> {
+    fn member_round(&mut self, round: Round, own: Own) -> Vec<Datagram> {
         let gossip = self.compose(round.now, round.wall_ms, own);
         let mut to = ips(self.members(round.now));
         let mut rest = Vec::new();
@@ -103,45 +104,52 @@
             from: gossip.from.clone(),
             under: gossip.under.clone(),
             wall_ms: gossip.wall_ms,
-            scope: Scope::UnderWay as u32,
+            scope: Scope::InFlight as u32,
             ..Gossip::default()
         };
-        let mut sendings = self.with_usage_for_some(round, gossip, to);
-        sendings.push(Sending { to: rest, gossip: load });
-        sendings
+        let mut datagrams = self.split_by_usage(round, gossip, to);
+        datagrams.push(Datagram { to: rest, gossip: load });
+        datagrams
     }
 
     /// Sends the counts of usage to some of the recipients only, because they
     /// are half of a datagram where there are many teams. Only nodes that can
     /// lead need them. One other node in turn receives them too, so that they
     /// survive the loss of all nodes that can lead.
-    fn with_usage_for_some(
+    fn split_by_usage(
         &self,
         round: Round,
         gossip: Gossip,
         to: Vec<Ipv4Addr>,
-    ) -> Vec<Sending> {
-        let disks = self.disks(round.now);
-        let witness = round.number as usize % to.len().max(1);
-        let witness = to.get(witness).copied();
-        let (whole, part) = to
-            .into_iter()
-            .partition(|to| Some(*to) == witness || disks.contains(to));
-        let slim = Gossip {
+    ) -> Vec<Datagram> {
+        let nodes_with_disk = self.nodes_with_disk(round.now);
+        let extra_recipient = round.number as usize % to.len().max(1);
+        let extra_recipient = to.get(extra_recipient).copied();
+        let (with_usage, others) = to.into_iter().partition(|to| {
+            Some(*to) == extra_recipient || nodes_with_disk.contains(to)
+        });
+        let without_usage = Gossip {
             usage: Vec::new(),
             relayed: Vec::new(),
             ..gossip.clone()
         };
-        vec![Sending { to: whole, gossip }, Sending { to: part, gossip: slim }]
+        vec![
+            Datagram { to: with_usage, gossip },
+            Datagram { to: others, gossip: without_usage },
+        ]
     }
 
     /// Sends urgent information at once to all members, also where regular
     /// datagrams take turns, and to some standby nodes.
-    fn urgent_of_member(&mut self, round: Round, own: Own) -> Vec<Sending> {
+    fn urgent_member_round(
+        &mut self,
+        round: Round,
+        own: Own,
+    ) -> Vec<Datagram> {
         let to = ips(self.members(round.now));
         if to.len() <= FANOUT {
             let gossip = self.compose(round.now, round.wall_ms, own);
-            return self.with_usage_for_some(round, gossip, to);
+            return self.split_by_usage(round, gossip, to);
         }
         let gossip = Gossip {
             crashes: own.crashes,
@@ -152,16 +160,16 @@
         };
         let standbys = self.next_standbys(round.now);
         vec![
-            Sending { to, gossip: gossip.clone() },
-            Sending { to: standbys, gossip },
+            Datagram { to, gossip: gossip.clone() },
+            Datagram { to: standbys, gossip },
         ]
     }
 
     /// Asks one node every second round, in this node's data centre if
     /// possible.
-    fn round_of_standby(&mut self, round: Round, own: Own) -> Vec<Sending> {
+    fn standby_round(&mut self, round: Round, own: Own) -> Vec<Datagram> {
         let me = u64::from(self.own().ip);
-        if !(round.number + me).is_multiple_of(STANDBY_ROUNDS) {
+        if !(round.number + me).is_multiple_of(STANDBY_QUERY_INTERVAL_ROUNDS) {
             return Vec::new();
         }
         let near = self.own().data_centre.clone();
@@ -174,28 +182,28 @@
         let asked = to.get(chosen % to.len().max(1)).copied();
         let gossip = self.compose(round.now, round.wall_ms, own);
         let has_usage = !gossip.usage.is_empty();
-        let asking = Gossip {
+        let query = Gossip {
             peers: Vec::new(),
             usage: Vec::new(),
             relayed: Vec::new(),
             hello: true,
             ..gossip.clone()
         };
-        let mut sendings =
-            vec![Sending { to: asked.into_iter().collect(), gossip: asking }];
+        let mut datagrams =
+            vec![Datagram { to: asked.into_iter().collect(), gossip: query }];
         if has_usage {
-            let to = self.disks(round.now);
+            let to = self.nodes_with_disk(round.now);
             let gossip = Gossip { peers: Vec::new(), ..gossip };
-            sendings.push(Sending { to, gossip });
+            datagrams.push(Datagram { to, gossip });
         }
-        sendings
+        datagrams
     }
 
     /// Sends new and leaving replicas to all members, because these need to
     /// know them whichever node received the heartbeat. Also sends that this
     /// node is on standby from now on, because the other nodes would take its
     /// silence for a fault.
-    fn urgent_of_standby(&mut self, round: Round) -> Vec<Sending> {
+    fn urgent_standby_round(&mut self, round: Round) -> Vec<Datagram> {
         let gossip = self.compose_urgent(round.now, round.wall_ms);
         let has_new_role = std::mem::take(&mut self.has_new_role);
         if gossip.replicas.is_empty() && !has_new_role {
@@ -205,7 +213,7 @@
         // hundreds of nodes have just started, each hears a part of them.
         let known = self.nodes().iter();
         let to = ips(known.filter(|node| Role::is_member(&node.says)));
-        vec![Sending { to, gossip }]
+        vec![Datagram { to, gossip }]
     }
 
     /// Greets silent nodes and seeds, which answer if they run.
@@ -213,31 +221,35 @@
     /// A few nodes are greeted at a time. If three hundred nodes that had lost
     /// contact greeted each other all at once, the answers would exceed the
     /// capacity of their links, and so they would lose contact again.
-    fn greet(&mut self, round: Round, seeds: &[Ipv4Addr]) -> Option<Sending> {
+    fn compose_greeting(
+        &mut self,
+        round: Round,
+        seeds: &[Ipv4Addr],
+    ) -> Option<Datagram> {
         let mut silent = self.silent(round.now, seeds);
-        let is_due = round.number % SILENT_ROUNDS == 1;
-        if !is_due && silent.len() > FEW_SILENT {
+        let is_due = round.number % GREETING_INTERVAL_ROUNDS == 1;
+        if !is_due && silent.len() > MAX_SILENT_GREETED_EACH_ROUND {
             return None;
         }
-        if silent.len() > GREETED {
+        if silent.len() > GREETINGS_PER_ROUND {
             let from = self.next_silent % silent.len();
-            self.next_silent = from + GREETED;
+            self.next_silent = from + GREETINGS_PER_ROUND;
             silent.rotate_left(from);
-            silent.truncate(GREETED);
+            silent.truncate(GREETINGS_PER_ROUND);
         }
         if silent.is_empty() {
             return None;
         }
         let gossip = self.compose_urgent(round.now, round.wall_ms);
         let gossip = Gossip { hello: true, ..gossip };
-        Some(Sending { to: silent, gossip })
+        Some(Datagram { to: silent, gossip })
     }
 
     /// Returns nodes that should be heard and are not, and seeds. Standby
     /// nodes are not greeted, because they ask other nodes themselves.
     fn silent(&self, now: u64, seeds: &[Ipv4Addr]) -> Vec<Ipv4Addr> {
         let live = ips(self.live(now));
-        if !self.is_member() && live.len() >= ENOUGH_HEARD {
+        if !self.is_member() && live.len() >= MIN_HEARD_WITHOUT_SEEDS {
             return Vec::new();
         }
         let me = Ipv4Addr::from(self.own().ip);
@@ -256,10 +268,11 @@
     /// Returns some of the standby nodes that were heard recently, in turn.
     fn next_standbys(&mut self, now: u64) -> Vec<Ipv4Addr> {
         let standbys = self.nodes().iter().filter(|node| {
-            !Role::is_member(&node.says) && now < node.heard_at + STANDBY_MS
+            !Role::is_member(&node.says)
+                && now < node.heard_at + MAX_STANDBY_REPORT_AGE_MS
         });
         let standbys = ips(standbys);
-        let count = standbys.len().min(URGENT_STANDBYS);
+        let count = standbys.len().min(URGENT_STANDBY_FANOUT);
         let from = self.next_standby;
         self.next_standby = self.next_standby.wrapping_add(count);
         (0..count)
@@ -276,25 +289,26 @@
         let others = others.map(|node| (node.says.ip, &node.says));
         let mut all: Vec<(u32, &Peer)> = own.into_iter().collect();
         all.extend(others);
-        if all.len() > FEW {
-            let same = |(_, says): &&(u32, &Peer)| {
+        if all.len() > MAX_ACTIVE_FOR_ALL_CALLERS {
+            let is_near = |(_, says): &&(u32, &Peer)| {
                 near.is_some_and(|near| says.data_centre == near)
             };
-            if all.iter().filter(same).count() >= LEAST_NEAR {
-                all.retain(|one| same(&one));
+            if all.iter().filter(is_near).count() >= MIN_ACTIVE_IN_DATA_CENTRE
+            {
+                all.retain(|item| is_near(&item));
             }
         }
-        if all.len() > ADDRESSES {
-            // A random sample for each caller, so that all nodes get their
+        if all.len() > MAX_ADDRESSES {
+            // Each caller gets a random sample, so that all nodes get their
             // share.
             let mut rng = rand::rng();
-            all = all.sample(&mut rng, ADDRESSES).copied().collect();
+            all = all.sample(&mut rng, MAX_ADDRESSES).copied().collect();
         }
         all.into_iter().map(|(ip, _)| ip.into()).collect()
     }
 
     /// Returns the nodes that can lead, which alone make usage reports.
-    fn disks(&self, now: u64) -> Vec<Ipv4Addr> {
+    fn nodes_with_disk(&self, now: u64) -> Vec<Ipv4Addr> {
         ips(self.live(now).filter(|node| node.says.has_disk))
     }
 }
--- a/src/mesh/table.rs
+++ b/src/mesh/table.rs
@@ -16,7 +16,7 @@
 use super::{
     counts::Counts,
     mean_lag_ms,
-    role::{DRAIN_MS, Keeper, Rate, Role, View},
+    role::{DRAIN_DURATION_MS, Rate, Role, Selector, View},
 };
 pub use super::{
     lives::{life_name, replica_hash, replica_of},
@@ -35,25 +35,25 @@
 ///
 /// It is six times the interval between two datagrams, because several in a
 /// row may be lost.
-pub const LIVE_MS: u64 = 1800;
+pub const NODE_TIMEOUT_MS: u64 = 1800;
 /// The same time on a standby node, in ms. It receives reports of the others
 /// every 0.6 s, and several in a row may be lost.
-const LIVE_FOR_STANDBY_MS: u64 = 3000;
+const NODE_TIMEOUT_ON_STANDBY_MS: u64 = 3000;
 /// Time without reports after which a standby node counts as silent, in ms. It
 /// asks one of a dozen other nodes every 0.6 s.
-const SILENT_STANDBY_MS: u64 = 20_000;
-/// Number of turns, and at least [`LIVE_MS`], without a datagram from a node
-/// after which it may be serving behind a network partition: either two
-/// datagrams in a row were lost, or it is.
-const UNHEARD_TURNS: f64 = 3.2;
+const STANDBY_TIMEOUT_MS: u64 = 20_000;
+/// Number of a node's turns without a direct datagram after which it counts as
+/// unheard, though not before [`NODE_TIMEOUT_MS`]. Either two datagrams in a
+/// row were lost, or the node may be serving behind a network partition.
+const UNHEARD_TIMEOUT_TURNS: f64 = 3.2;
 /// Maximum age of another node's clock reading on a standby node, in ms. It
 /// hears one node every 0.6 s.
-const CLOCKS_FOR_STANDBY_MS: u64 = 10_000;
+const MAX_CLOCK_AGE_ON_STANDBY_MS: u64 = 10_000;
 /// Time without reports after which a node is dropped, in ms.
 ///
 /// Until then it is assumed to serve behind a network partition, and to use
 /// its share of every quota there.
-pub const FORGET_NODE_MS: u64 = 60_000;
+pub const NODE_RETENTION_MS: u64 = 60_000;
 
 common! {
     /// Another node.
@@ -63,9 +63,9 @@
         /// When it sent its last known report, by this node's clock.
         pub heard_at: u64,
         /// When it was last heard directly, not through other nodes.
-        pub direct_at: u64,
+        pub heard_directly_at: u64,
         /// When this node first learnt of it.
-        pub(super) since: u64,
+        pub(super) first_seen_at: u64,
         /// Its requests in flight, by replica.
         pub(super) under: Vec<Under>,
         /// Its tokens admitted since its start, by team.
@@ -75,7 +75,7 @@
         /// Nodes that it does not hear.
         pub(super) unheard: Vec<u32>,
         /// Its clock's lead over this node's, in ms.
-        pub(super) lead_ms: i64,
+        pub(super) clock_lead_ms: i64,
     }
 }
 
@@ -89,18 +89,18 @@
     pub(super) counts: Counts,
     /// Leaving and departed replicas, by the hash of their ids, and when this
     /// node first learnt of it. Sorted by hash.
-    pub(super) left: Vec<(u64, u64)>,
+    pub(super) departures: Vec<(u64, u64)>,
     /// This node's work, as last reported to the others.
     pub(super) own_work: Vec<Work>,
     pub(super) next_peer: usize,
     pub(super) next_replica: usize,
-    pub(super) next_left: usize,
-    pub(super) next_near: usize,
+    pub(super) next_departure: usize,
+    pub(super) next_near_peer: usize,
     pub(super) next_standby: usize,
     pub(super) next_silent: usize,
     /// Number of reports of its load that this node has sent.
-    pub(super) told: u64,
-    keeper: Keeper,
+    pub(super) load_reports_sent: u64,
+    selector: Selector,
     rate: Rate,
     /// Set while other nodes have not been notified of this node's new role.
     pub(super) has_new_role: bool,
@@ -150,16 +150,16 @@
             nodes: Vec::new(),
             replicas: Vec::new(),
             counts: Counts::default(),
-            left: Vec::new(),
+            departures: Vec::new(),
             own_work: Vec::new(),
             next_peer: 0,
             next_replica: 0,
-            next_left: 0,
-            next_near: 0,
+            next_departure: 0,
+            next_near_peer: 0,
             next_standby: 0,
             next_silent: 0,
-            told: 0,
-            keeper: Keeper::open(),
+            load_reports_sent: 0,
+            selector: Selector::open(),
             rate: Rate::default(),
             has_new_role: false,
         }
@@ -202,11 +202,11 @@
     }
 
     fn is_live(&self, now: u64, node: &Node) -> bool {
-        let limit = match self.is_member() {
-            true => LIVE_MS,
-            false => LIVE_FOR_STANDBY_MS,
+        let timeout_ms = match self.is_member() {
+            true => NODE_TIMEOUT_MS,
+            false => NODE_TIMEOUT_ON_STANDBY_MS,
         };
-        now < node.heard_at + limit
+        now < node.heard_at + timeout_ms
     }
 
     // ---- Roles ------------------------------------------------------------
@@ -223,45 +223,46 @@
 
     /// Updates this node's role, given the number of callers' requests `begun`
     /// since its start. Returns the former role if it has changed.
-    pub fn review(&mut self, now: u64, begun: u64) -> Option<Role> {
-        self.me.rate = self.rate.note(now, begun);
+    pub fn update_role(&mut self, now: u64, begun: u64) -> Option<Role> {
+        self.me.rate = self.rate.update(now, begun);
         let before = Role::of(&self.me);
         let serving: Vec<&Node> =
             self.live(now).filter(|node| node.says.serving).collect();
-        let near = |node: &&Node| node.says.data_centre == self.me.data_centre;
-        let mut places: Vec<&str> = serving
+        let is_near =
+            |node: &&Node| node.says.data_centre == self.me.data_centre;
+        let mut data_centres: Vec<&str> = serving
             .iter()
             .map(|node| node.says.data_centre.as_str())
             .chain([self.me.data_centre.as_str()])
             .collect();
-        places.sort_unstable();
-        places.dedup();
+        data_centres.sort_unstable();
+        data_centres.dedup();
         let others: u32 = serving
             .iter()
             .copied()
-            .filter(near)
-            .map(|one| one.says.rate)
+            .filter(is_near)
+            .map(|node| node.says.rate)
             .sum();
         let view = View {
             near: serving
                 .iter()
                 .copied()
-                .filter(near)
+                .filter(is_near)
                 .filter(|node| node.is_active())
                 .map(|node| &node.says)
                 .collect(),
             rate: self.me.rate + others,
             serving: serving.len() + 1,
-            data_centres: places.len(),
+            data_centres: data_centres.len(),
         };
-        let mut keeper = self.keeper;
-        let role = keeper.review(now, &self.me, &view);
-        self.keeper = keeper;
+        let mut selector = self.selector;
+        let role = selector.update(now, &self.me, &view);
+        self.selector = selector;
         if (before, role) == (Role::Standby, Role::Active) {
             // The known reports of other nodes are old: many of these nodes
             // have stopped being active since, and would count as cut off.
             // Nodes that have requests report to this node within a round.
-            let since = now.saturating_sub(LIVE_MS / 2);
+            let since = now.saturating_sub(NODE_TIMEOUT_MS / 2);
             self.nodes.retain(|node| node.heard_at >= since);
         }
         self.me.role = role as u32;
@@ -281,13 +282,13 @@
         let mut sums: Vec<Under> =
             self.live(now).flat_map(|node| &node.under).copied().collect();
         sums.sort_unstable_by_key(|under| under.replica);
-        sums.dedup_by(|one, sum| {
-            let same = one.replica == sum.replica;
-            if same {
-                sum.count += one.count;
-                sum.pending += one.pending;
+        sums.dedup_by(|next, sum| {
+            let is_same = next.replica == sum.replica;
+            if is_same {
+                sum.count += next.count;
+                sum.pending += next.pending;
             }
-            same
+            is_same
         });
         Loads { sums }
     }
@@ -303,8 +304,8 @@
         std::iter::once(own)
             .chain(others)
             .flat_map(|(node, work)| {
-                let work = work.iter().filter(|one| one.service == service);
-                work.map(move |one| (node, one.ms))
+                let work = work.iter().filter(|item| item.service == service);
+                work.map(move |item| (node, item.ms))
             })
             .collect()
     }
@@ -316,21 +317,21 @@
         &self,
         now: u64,
     ) -> impl Iterator<Item = (u64, &[Spent], bool)> + '_ {
-        let limit = self.unheard_ms(now);
+        let timeout_ms = self.unheard_timeout_ms(now);
         self.nodes.iter().map(move |node| {
-            let heard = now < node.direct_at + limit;
-            (node.says.incarnation, node.spent.as_slice(), heard)
+            let is_heard = now < node.heard_directly_at + timeout_ms;
+            (node.says.incarnation, node.spent.as_slice(), is_heard)
         })
     }
 
-    /// Returns how many nodes that take callers' requests precede this one in
-    /// the order for `subject`, where one node has to act first. Nodes that
-    /// hear each other find the same order.
+    /// Returns this node's rank in the order for `subject`, among the nodes
+    /// that take callers' requests: the number of nodes that act before it.
+    /// Nodes that hear each other find the same order.
     pub fn rank(&self, now: u64, subject: u64) -> usize {
-        let place = |ip: u32| mix(subject ^ mix(ip.into()));
-        let own = place(self.me.ip);
+        let order = |ip: u32| mix(subject ^ mix(ip.into()));
+        let own = order(self.me.ip);
         let others = self.live(now).filter(|node| node.is_entry(now));
-        others.filter(|node| place(node.says.ip) < own).count()
+        others.filter(|node| order(node.says.ip) < own).count()
     }
 
     /// Returns this node's position in the order of the active nodes for
@@ -342,13 +343,13 @@
         if !self.is_active() {
             return None;
         }
-        let place = |ip: u32| mix(subject ^ mix(ip.into()));
-        let own = place(self.me.ip);
+        let order = |ip: u32| mix(subject ^ mix(ip.into()));
+        let own = order(self.me.ip);
         let mut rank = 0;
         let mut nodes = 1;
         for node in self.live(now).filter(|node| node.is_active()) {
             nodes += 1;
-            rank += usize::from(place(node.says.ip) < own);
+            rank += usize::from(order(node.says.ip) < own);
         }
         Some((rank, nodes))
     }
@@ -366,15 +367,16 @@
     /// It is the median over all nodes that were heard recently, so it does
     /// not move when one clock, or a third of them, jumps.
     pub fn clock_offset(&self, now: u64) -> i64 {
-        let limit = match self.is_member() {
-            true => self.unheard_ms(now),
-            false => CLOCKS_FOR_STANDBY_MS,
+        let timeout_ms = match self.is_member() {
+            true => self.unheard_timeout_ms(now),
+            false => MAX_CLOCK_AGE_ON_STANDBY_MS,
         };
-        let heard = self
-            .nodes
-            .iter()
-            .filter(|node| node.direct_at > 0 && now < node.direct_at + limit);
-        let mut leads: Vec<i64> = heard.map(|node| node.lead_ms).collect();
+        let heard = self.nodes.iter().filter(|node| {
+            node.heard_directly_at > 0
+                && now < node.heard_directly_at + timeout_ms
+        });
+        let mut leads: Vec<i64> =
+            heard.map(|node| node.clock_lead_ms).collect();
         leads.push(0);
         leads.sort_unstable();
         leads[leads.len() / 2]
@@ -384,7 +386,7 @@
 
     /// Counts a request that began at this node.
     pub fn count_began(&mut self, window: u64, team: &str) {
-        self.counts.count(self.me.incarnation, window, team);
+        self.counts.count_request(self.me.incarnation, window, team);
     }
 
     /// Returns the requests that began in a window at all nodes, by team.
@@ -402,20 +404,20 @@
     ///
     /// A standby node can't tell, because it hears one node at a time.
     pub(super) fn unheard(&self, now: u64) -> impl Iterator<Item = &Node> {
-        let limit = self.unheard_ms(now);
+        let timeout_ms = self.unheard_timeout_ms(now);
         let can_tell = self.is_member();
         self.nodes.iter().filter(move |node| {
-            let from = node.direct_at.max(node.since);
-            can_tell && node.is_entry(now) && now >= from + limit
+            let from = node.heard_directly_at.max(node.first_seen_at);
+            can_tell && node.is_entry(now) && now >= from + timeout_ms
         })
     }
 
     /// Returns the time without direct datagrams after which a node is
     /// unheard, in ms. Where nodes take turns, a node is heard directly only
     /// once in several rounds.
-    fn unheard_ms(&self, now: u64) -> u64 {
+    fn unheard_timeout_ms(&self, now: u64) -> u64 {
         let turn_ms = 2.0 * mean_lag_ms(self.members(now).count() + 1);
-        LIVE_MS.max((turn_ms * UNHEARD_TURNS) as u64)
+        NODE_TIMEOUT_MS.max((turn_ms * UNHEARD_TIMEOUT_TURNS) as u64)
     }
 
     /// Returns counts of other nodes that this node relays.
@@ -426,17 +428,17 @@
     /// the leader. Without relaying, the usage report would lack these counts.
     pub(super) fn relayed(&self, now: u64) -> Vec<Began> {
         let own = self.me.incarnation;
-        self.counts.others(own, self.told, |incarnation| {
-            let speaker = self
+        self.counts.relayed(own, self.load_reports_sent, |incarnation| {
+            let originator = self
                 .nodes
                 .iter()
                 .find(|node| node.says.incarnation == incarnation);
-            match speaker {
+            match originator {
                 None => true,
                 // It sends its counts to the nodes that can lead, and to no
                 // other node.
                 Some(node) if Role::of(&node.says) == Role::Standby => {
-                    now >= node.heard_at + SILENT_STANDBY_MS
+                    now >= node.heard_at + STANDBY_TIMEOUT_MS
                 }
                 Some(node) if !self.is_live(now, node) => true,
                 // Only nodes that can lead need the counts.
@@ -464,16 +466,16 @@
     /// A draining node that has been silent for longer than a drain takes is
     /// on standby, and its report of that was lost.
     fn is_entry(&self, now: u64) -> bool {
-        let may_be = match Role::of(&self.says) {
+        let may_have_requests = match Role::of(&self.says) {
             Role::Active => true,
-            Role::Draining => now < self.heard_at + DRAIN_MS,
+            Role::Draining => now < self.heard_at + DRAIN_DURATION_MS,
             Role::Standby => false,
         };
-        self.says.serving && may_be
+        self.says.serving && may_have_requests
     }
 
     /// Returns its report for other nodes, with the present age.
-    pub(super) fn aged(&self, now: u64) -> Peer {
+    pub(super) fn to_peer(&self, now: u64) -> Peer {
         let age_ms = now.saturating_sub(self.heard_at) as u32;
         Peer { age_ms, ..self.says.clone() }
     }
--- a/tests/all/mesh.rs
+++ b/tests/all/mesh.rs
@@ -25,7 +25,7 @@
     Table::open(peer(1, 0))
 }
 
-fn says(id: &str, state: u32, sequence: u64) -> Sighting {
+fn sighting(id: &str, state: u32, sequence: u64) -> Sighting {
     Sighting {
         id: id.to_owned(),
         service: "app".to_owned(),
@@ -40,8 +40,8 @@
 }
 
 fn state(table: &Table, id: &str) -> Option<State> {
-    let found = table.replicas().iter().find(|one| one.says.id == id);
-    found.map(|one| one.state)
+    let found = table.replicas().iter().find(|replica| replica.says.id == id);
+    found.map(|replica| replica.state)
 }
 
 /// Guards against sending requests to a replica that is leaving. A node that
@@ -50,33 +50,33 @@
 #[test]
 fn a_replica_never_comes_back_from_leaving() {
     let mut table = table();
-    assert!(table.sight(0, says("a", 0, 1), true));
-    assert!(table.sight(1, says("a", 1, 2), true));
-    let late = Gossip { replicas: vec![says("a", 0, 1)], ..gossip(2, 1) };
+    assert!(table.sight(0, sighting("a", 0, 1), true));
+    assert!(table.sight(1, sighting("a", 1, 2), true));
+    let late = Gossip { replicas: vec![sighting("a", 0, 1)], ..gossip(2, 1) };
     assert!(!table.hear(2, 0, late).replicas);
-    let newer = Gossip { replicas: vec![says("a", 0, 9)], ..gossip(2, 2) };
+    let newer = Gossip { replicas: vec![sighting("a", 0, 9)], ..gossip(2, 2) };
     table.hear(3, 0, newer);
     assert_eq!(state(&table, "a"), Some(State::Leaving));
-    table.sight(4, says("a", 2, 0), true);
-    table.sight(5, says("a", 1, 10), true);
+    table.sight(4, sighting("a", 2, 0), true);
+    table.sight(5, sighting("a", 1, 10), true);
     assert_eq!(state(&table, "a"), Some(State::Gone));
 }
 
 /// Guards against using a departed replica whose departure notice arrives
 /// before its first heartbeat.
 #[test]
-fn a_goodbye_counts_also_before_the_first_heartbeat() {
+fn a_departure_before_the_first_heartbeat_counts() {
     let mut table = table();
-    let goodbye = Sighting { service: String::new(), ..says("a", 2, 0) };
-    table.sight(0, goodbye, true);
-    table.sight(1, says("a", 0, 5), true);
+    let departure = Sighting { service: String::new(), ..sighting("a", 2, 0) };
+    table.sight(0, departure, true);
+    table.sight(1, sighting("a", 0, 5), true);
     assert_eq!(state(&table, "a"), Some(State::Gone));
 }
 
 /// Guards against handing out a stopped node. It announces that it no longer
 /// serves, and then a third node relays its previous report.
 #[test]
-fn old_word_of_a_node_through_others_changes_nothing() {
+fn an_old_relayed_report_of_a_node_is_ignored() {
     let mut table = table();
     let mut stopped = peer(2, 20);
     stopped.serving = false;
@@ -91,7 +91,7 @@
 /// Guards against ignoring a restarted node whose clock has jumped back, for
 /// as long as the jump was. Beats are wall-clock times.
 #[test]
-fn a_restarted_node_with_an_early_clock_is_heard() {
+fn a_restarted_node_with_an_early_clock_is_accepted() {
     let mut table = table();
     table.hear(0, 0, gossip(2, 5000));
     let again = Peer { incarnation: 7, ..peer(2, 10) };
@@ -125,7 +125,7 @@
 /// crashed after it had reported them, or that counts them twice when
 /// datagrams are duplicated.
 #[test]
-fn usage_is_counted_once_however_often_it_is_told() {
+fn usage_is_counted_once_however_often_it_is_reported() {
     let mut table = table();
     table.count_began(7, "blue");
     let counts = |count| {
@@ -134,8 +134,8 @@
         vec![RecordUsage { window: 7, counts }]
     };
     for (beat, count) in [(1, 2), (2, 5), (3, 5), (4, 3)] {
-        let told = Gossip { usage: counts(count), ..gossip(2, beat) };
-        table.hear(beat, 0, told);
+        let datagram = Gossip { usage: counts(count), ..gossip(2, beat) };
+        table.hear(beat, 0, datagram);
     }
     let usage = table.usage(7);
     assert_eq!(usage.counts.len(), 1);
@@ -146,7 +146,7 @@
 /// node. The node sends its counts to one other node and stops; the leader has
 /// just started and has never heard it.
 #[test]
-fn counts_of_a_dead_node_are_passed_on() {
+fn counts_of_a_dead_node_are_relayed() {
     let team = "blue".to_owned();
     let counts = vec![TeamCount { team, count: 5 }];
     let usage = vec![RecordUsage { window: 7, counts }];
@@ -154,7 +154,10 @@
     witness.hear(0, 0, Gossip { usage, ..gossip(2, 1) });
     let mut leader = Table::open(peer(3, 0));
     leader.hear(1, 0, witness.compose(1, 0, Own::default()));
-    assert!(leader.usage(7).counts.is_empty(), "it may still speak itself");
+    assert!(
+        leader.usage(7).counts.is_empty(),
+        "the node may still report itself"
+    );
     let later = 5000;
     leader.hear(later, 0, witness.compose(later, 0, Own::default()));
     assert_eq!(leader.usage(7).counts[0].count, 5);
@@ -176,7 +179,7 @@
 }
 
 #[test]
-fn what_a_node_has_spent_is_known_by_incarnation() {
+fn spent_tokens_are_known_by_incarnation() {
     let mut table = table();
     let spent = vec![Spent { team: 5, tokens: 70 }];
     table.hear(0, 0, Gossip { spent, ..gossip(2, 1) });
@@ -189,34 +192,35 @@
 /// Forty replicas leave at once, and a datagram has room for the full fields
 /// of a dozen.
 #[test]
-fn one_datagram_says_of_forty_that_they_leave() {
+fn one_datagram_reports_forty_departures() {
     let (mut from, mut to) = (table(), Table::open(peer(2, 0)));
     for number in 0..40 {
         let id = format!("r{number}");
-        from.sight(0, says(&id, 0, 1), false);
+        from.sight(0, sighting(&id, 0, 1), false);
         // One half is known at the receiver, the other half arrives there
         // later.
         if number % 2 == 0 {
-            to.sight(0, says(&id, 0, 1), false);
+            to.sight(0, sighting(&id, 0, 1), false);
         }
-        from.sight(5, says(&id, 1, 2), true);
+        from.sight(5, sighting(&id, 1, 2), true);
     }
     let news = to.hear(6, 0, from.compose(6, 0, Own::default()));
     assert!(news.replicas);
     for number in 0..40 {
-        to.sight(7, says(&format!("r{number}"), 0, 1), false);
+        to.sight(7, sighting(&format!("r{number}"), 0, 1), false);
     }
-    let ready = to.replicas().iter().filter(|one| one.state == State::Ready);
+    let ready =
+        to.replicas().iter().filter(|replica| replica.state == State::Ready);
     assert_eq!(ready.count(), 0);
 }
 
 /// Every replica that one node knows reaches another node within some
 /// datagrams, although each datagram has room for a few only.
 #[test]
-fn all_replicas_get_round_in_time() {
+fn all_replicas_reach_another_node_in_time() {
     let mut from = table();
     for number in 0..60 {
-        from.sight(0, says(&format!("r{number}"), 0, 1), false);
+        from.sight(0, sighting(&format!("r{number}"), 0, 1), false);
     }
     let mut to = Table::open(peer(2, 0));
     for round in 0..20 {
@@ -244,20 +248,21 @@
             // Every 1.2 s, at another node each time.
             if (round + beat) % 4 == 0 {
                 let at = (beat * 31 + round * 17) as usize % tables.len();
-                let says = says(&format!("i-{beat}"), 0, round + 1);
-                tables[at].sight(now, says, true);
+                let heartbeat = sighting(&format!("i-{beat}"), 0, round + 1);
+                tables[at].sight(now, heartbeat, true);
             }
         }
         for from in 0..tables.len() {
-            let told = tables[from].compose(now, now as i64, Own::default());
+            let datagram =
+                tables[from].compose(now, now as i64, Own::default());
             for step in 0..16 {
                 let to = (from + 1 + (round as usize * 16 + step) % 69) % 70;
-                tables[to].hear(now, now as i64, told.clone());
+                tables[to].hear(now, now as i64, datagram.clone());
             }
         }
         if round > 20 {
             let heard = tables.iter().flat_map(|table| table.replicas());
-            let oldest = heard.map(|one| now - one.heard_at).max();
+            let oldest = heard.map(|replica| now - replica.heard_at).max();
             worst = worst.max(oldest.unwrap_or(0));
         }
     }
@@ -270,43 +275,44 @@
 /// the newest only, the departures that a node has received directly would
 /// soon be older than those that other nodes report.
 #[test]
-fn all_nodes_know_in_time_of_hundreds_that_leave_at_once() {
+fn departures_of_hundreds_reach_all_nodes_in_time() {
     const NODES: usize = 70;
     let mut tables: Vec<Table> =
         (1..=NODES as u32).map(|ip| Table::open(peer(ip, 0))).collect();
     for table in &mut tables {
         for at in 0..150 {
-            table.sight(0, says(&format!("i-{at}"), 0, 1), false);
+            table.sight(0, sighting(&format!("i-{at}"), 0, 1), false);
         }
     }
     for at in 0..150 {
-        let leaves = says(&format!("i-{at}"), 1, 2);
+        let leaves = sighting(&format!("i-{at}"), 1, 2);
         tables[at % NODES].sight(1000, leaves, true);
     }
     for round in 0..7_u64 {
         for from in 0..NODES {
             // Nodes send one after the other, not all at the same moment.
             let now = 1000 + round * 300 + from as u64 * 4;
-            let told = tables[from].compose(now, now as i64, Own::default());
+            let datagram =
+                tables[from].compose(now, now as i64, Own::default());
             for step in 0..16 {
                 let turn = (round as usize * 16 + step) % (NODES - 1);
                 let to = (from + 1 + turn) % NODES;
-                tables[to].hear(now, now as i64, told.clone());
+                tables[to].hear(now, now as i64, datagram.clone());
             }
         }
     }
-    let unknown = tables.iter().flat_map(|table| table.replicas());
-    let unknown = unknown.filter(|one| one.state == State::Ready).count();
-    assert_eq!(unknown, 0, "2.1 s later");
+    let ready = tables.iter().flat_map(|table| table.replicas());
+    let ready = ready.filter(|replica| replica.state == State::Ready).count();
+    assert_eq!(ready, 0, "2.1 s later");
 }
 
 /// Returns a heartbeat of an incarnation of a replica.
-fn life(id: &str, born: u64, state: u32, sequence: u64) -> Sighting {
-    Sighting { born, ..says(&life_name(id, born), state, sequence) }
+fn heartbeat(id: &str, born: u64, state: u32, sequence: u64) -> Sighting {
+    Sighting { born, ..sighting(&life_name(id, born), state, sequence) }
 }
 
 fn usable(table: &Table, now: u64) -> Vec<String> {
-    table.usable(now).into_iter().map(|one| one.id).collect()
+    table.usable(now).into_iter().map(|replica| replica.id).collect()
 }
 
 /// Guards against a restarted replica that gets no requests for minutes. It
@@ -315,17 +321,20 @@
 /// incarnation arrives. The incarnations must be kept apart: the state of one
 /// never goes back, and its heartbeat with the highest sequence number counts.
 #[test]
-fn a_replica_that_starts_again_under_its_id_is_used() {
+fn a_replica_that_restarts_under_its_id_is_used() {
     let mut table = table();
-    table.sight(0, life("a", 1000, 0, 50), true);
-    table.sight(1, life("a", 1000, 1, 51), true);
-    assert!(table.sight(5, life("a", 2000, 0, 1), true));
+    table.sight(0, heartbeat("a", 1000, 0, 50), true);
+    table.sight(1, heartbeat("a", 1000, 1, 51), true);
+    assert!(table.sight(5, heartbeat("a", 2000, 0, 1), true));
     assert_eq!(usable(&table, 5), ["a@2000"]);
     // Late heartbeats of the former incarnation, received directly and through
     // another node.
-    table.sight(6, life("a", 1000, 1, 52), true);
+    table.sight(6, heartbeat("a", 1000, 1, 52), true);
     let late = Gossip {
-        replicas: vec![life("a", 1000, 0, 49), life("a", 1000, 2, 53)],
+        replicas: vec![
+            heartbeat("a", 1000, 0, 49),
+            heartbeat("a", 1000, 2, 53),
+        ],
         left: vec![replica_hash("a@1000")],
         ..gossip(2, 1)
     };
@@ -337,15 +346,16 @@
 /// one that replaces it. The replica crashes and restarts; its former
 /// incarnation must not stay usable until it has been silent for long.
 #[test]
-fn a_life_ends_when_the_next_one_begins() {
+fn an_incarnation_ends_when_the_next_one_starts() {
     let mut table = table();
-    table.sight(0, life("a", 1000, 0, 50), true);
-    table.sight(0, life("b", 1000, 0, 50), true);
-    table.sight(100, life("a", 2000, 0, 1), false);
+    table.sight(0, heartbeat("a", 1000, 0, 50), true);
+    table.sight(0, heartbeat("b", 1000, 0, 50), true);
+    table.sight(100, heartbeat("a", 2000, 0, 1), false);
     assert_eq!(usable(&table, 100), ["a@2000", "b@1000"]);
     assert_eq!(state(&table, "a@1000"), Some(State::Gone));
     // A remembered incarnation does not bring it back either.
-    let remembered = Sighting { remembered: true, ..life("a", 500, 0, 9) };
+    let remembered =
+        Sighting { remembered: true, ..heartbeat("a", 500, 0, 9) };
     table.sight(101, remembered, false);
     assert_eq!(usable(&table, 101), ["a@2000", "b@1000"]);
 }
@@ -354,16 +364,16 @@
 /// jumped back while it was down. The start time of its new incarnation is
 /// then earlier than that of its former one.
 #[test]
-fn a_clock_that_jumped_back_shuts_no_replica_out() {
+fn a_clock_that_jumped_back_excludes_no_replica() {
     let mut table = table();
-    table.sight(0, life("a", 5000, 0, 50), true);
-    table.sight(1000, life("a", 4000, 0, 1), true);
-    assert_eq!(usable(&table, 1000), ["a@5000"], "may be late word");
-    table.sight(11_000, life("a", 4000, 0, 9), true);
+    table.sight(0, heartbeat("a", 5000, 0, 50), true);
+    table.sight(1000, heartbeat("a", 4000, 0, 1), true);
+    assert_eq!(usable(&table, 1000), ["a@5000"], "may be a late heartbeat");
+    table.sight(11_000, heartbeat("a", 4000, 0, 9), true);
     assert_eq!(usable(&table, 11_000), ["a@4000"]);
     // A node that has not noticed yet does not end it.
     let late =
-        Gossip { replicas: vec![life("a", 5000, 0, 50)], ..gossip(2, 1) };
+        Gossip { replicas: vec![heartbeat("a", 5000, 0, 50)], ..gossip(2, 1) };
     table.hear(11_001, 0, late);
     assert_eq!(usable(&table, 11_001), ["a@4000"]);
 }
@@ -371,23 +381,23 @@
 /// A departure notice without a start time applies to the current incarnation,
 /// also at nodes that receive it as the hash of the replica's id only.
 #[test]
-fn a_goodbye_without_a_life_ends_the_present_one() {
-    let goodbye = Sighting { service: String::new(), ..says("a", 2, 0) };
-    let (mut one, mut other) = (table(), Table::open(peer(2, 0)));
-    one.sight(0, life("a", 1000, 0, 5), true);
-    other.sight(0, life("a", 1000, 0, 5), true);
-    one.sight(10, goodbye.clone(), true);
-    assert!(usable(&one, 10).is_empty());
-    let told = Gossip { left: vec![replica_hash("a")], ..gossip(1, 1) };
-    other.hear(11, 0, told);
-    assert_eq!(state(&other, "a@1000"), Some(State::Leaving));
+fn a_departure_without_a_start_time_ends_the_current_incarnation() {
+    let departure = Sighting { service: String::new(), ..sighting("a", 2, 0) };
+    let (mut first, mut second) = (table(), Table::open(peer(2, 0)));
+    first.sight(0, heartbeat("a", 1000, 0, 5), true);
+    second.sight(0, heartbeat("a", 1000, 0, 5), true);
+    first.sight(10, departure.clone(), true);
+    assert!(usable(&first, 10).is_empty());
+    let datagram = Gossip { left: vec![replica_hash("a")], ..gossip(1, 1) };
+    second.hear(11, 0, datagram);
+    assert_eq!(state(&second, "a@1000"), Some(State::Leaving));
     // The notice does not apply to its next incarnation.
-    one.sight(5000, life("a", 4000, 0, 1), true);
-    assert_eq!(usable(&one, 5000), ["a@4000"]);
+    first.sight(5000, heartbeat("a", 4000, 0, 1), true);
+    assert_eq!(usable(&first, 5000), ["a@4000"]);
 }
 
 #[test]
-fn a_life_is_named_after_its_replica() {
+fn an_incarnation_id_contains_the_replica_id() {
     for (id, born) in [("a", 0), ("a", 7), ("a@b", 0), ("a@3", 0), ("@", 9)] {
         assert_eq!(replica_of(&life_name(id, born)), id);
     }
@@ -401,15 +411,15 @@
 /// marks the current incarnation as departed, as after a clock that has jumped
 /// back, and that must be undone.
 #[test]
-fn late_word_after_a_long_silence_costs_seconds_only() {
+fn a_late_heartbeat_after_a_long_silence_costs_seconds_only() {
     let mut table = table();
-    table.sight(1000, life("a", 5000, 0, 1), true);
-    table.sight(12_000, life("a", 4000, 0, 51), true);
-    table.sight(23_000, life("a", 5000, 0, 9), true);
+    table.sight(1000, heartbeat("a", 5000, 0, 1), true);
+    table.sight(12_000, heartbeat("a", 4000, 0, 51), true);
+    table.sight(23_000, heartbeat("a", 5000, 0, 9), true);
     assert_eq!(usable(&table, 23_000), ["a@5000"]);
     // A heartbeat that is old when it is relayed proves nothing either way.
-    let told = Sighting { age_ms: 22_000, ..life("a", 4000, 0, 50) };
-    let late = Gossip { replicas: vec![told], ..gossip(2, 1) };
+    let relayed = Sighting { age_ms: 22_000, ..heartbeat("a", 4000, 0, 50) };
+    let late = Gossip { replicas: vec![relayed], ..gossip(2, 1) };
     table.hear(35_000, 0, late);
     assert_eq!(usable(&table, 35_000), ["a@5000"]);
 }
@@ -441,7 +451,8 @@
     assert_eq!(tables[0].place(20, 1), None);
 }
 
-fn suspects() -> Own {
+/// Returns a report of a request in flight at two replicas that crashed.
+fn crash_report() -> Own {
     let crash = |replica| Crash { fingerprint: 7, replica, age_ms: 30 };
     Own { crashes: vec![crash(1), crash(2)], ..Own::default() }
 }
@@ -452,31 +463,32 @@
 /// of forty others in a round. Urgent datagrams go at once to all nodes that
 /// take requests.
 #[test]
-fn all_of_forty_nodes_are_told_at_once_of_a_request_that_ends_replicas() {
+fn all_of_forty_nodes_are_notified_at_once_of_a_request_that_crashes_replicas()
+{
     let mut table = table();
     for ip in 2..42 {
         table.hear(10, 0, gossip(ip, 1));
     }
     let round = Round { now: 20, wall_ms: 0, number: 1, is_urgent: true };
-    let sendings = table.round(round, suspects(), &[]);
-    let mut told: Vec<u32> = sendings
+    let datagrams = table.round(round, crash_report(), &[]);
+    let mut notified: Vec<u32> = datagrams
         .iter()
-        .filter(|sending| sending.gossip.crashes.len() == 2)
-        .flat_map(|sending| &sending.to)
+        .filter(|datagram| datagram.gossip.crashes.len() == 2)
+        .flat_map(|datagram| &datagram.to)
         .map(|ip| u32::from(*ip))
         .collect();
-    told.sort_unstable();
-    told.dedup();
-    assert_eq!(told, (2..42).collect::<Vec<u32>>());
+    notified.sort_unstable();
+    notified.dedup();
+    assert_eq!(notified, (2..42).collect::<Vec<u32>>());
 }
 
 /// Guards against a standby node that crashes replicas when its first callers
 /// arrive, because it was never notified of the requests that do so: it hears
 /// only the answers to its own requests.
 #[test]
-fn a_node_that_stands_by_is_told_of_requests_that_end_replicas() {
+fn a_standby_node_is_notified_of_requests_that_crash_replicas() {
     let mut table = table();
     let standby = Peer { role: 2, ..peer(9, 1) };
-    let answer = table.answer(20, 0, suspects(), &standby);
-    assert_eq!(answer.crashes, suspects().crashes);
+    let answer = table.answer(20, 0, crash_report(), &standby);
+    assert_eq!(answer.crashes, crash_report().crashes);
 }
--- a/tests/all/mesh_scale.rs
+++ b/tests/all/mesh_scale.rs
@@ -13,7 +13,7 @@
 
 use azuremount::{
     mesh::{
-        round::{Round, Sending},
+        round::{Datagram, Round},
         table::{Own, State, Table},
     },
     wire::{Cached, Gossip, Peer, Sighting, Spent, Under, Work},
@@ -23,18 +23,18 @@
 
 const DATA_CENTRES: usize = 6;
 const TEAMS: u64 = 40;
-const PERIOD_MS: u64 = 300;
-const HEARTBEAT_MS: u64 = 1200;
+const ROUND_INTERVAL_MS: u64 = 300;
+const HEARTBEAT_INTERVAL_MS: u64 = 1200;
 /// One in this number of datagrams is lost.
-const LOST: u32 = 40;
+const DATAGRAMS_PER_LOSS: u32 = 40;
 /// Callers' requests each second, over all nodes.
-const REQUESTS: u64 = 1300;
+const REQUESTS_PER_S: u64 = 1300;
 /// Time at which callers start. The users' VMs run for at least that long.
 const TRAFFIC_AT_MS: u64 = 14_000;
 /// Time by which roles and averages have settled.
-const SETTLED_MS: u64 = 24_000;
+const SETTLED_AT_MS: u64 = 24_000;
 
-struct Machine {
+struct Vm {
     table: Table,
     ip: u32,
     is_down: bool,
@@ -43,7 +43,7 @@
     begun: u64,
     begun_at: u64,
     /// When its role last changed.
-    changed_at: u64,
+    role_changed_at: u64,
     sent_bytes: u64,
     crossing_bytes: u64,
     fields: BTreeMap<&'static str, u64>,
@@ -51,10 +51,10 @@
 
 struct Fleet {
     now: u64,
-    machines: Vec<Machine>,
+    vms: Vec<Vm>,
     replicas: u64,
-    mail: BTreeMap<(u64, u64), (usize, u32, Gossip)>,
-    posted: u64,
+    in_transit: BTreeMap<(u64, u64), (usize, u32, Gossip)>,
+    sent_datagrams: u64,
     rng: StdRng,
 }
 
@@ -64,7 +64,7 @@
 
 impl Fleet {
     fn open(nodes: usize, replicas: u64) -> Fleet {
-        let machines = (0..nodes).map(|at| {
+        let vms = (0..nodes).map(|at| {
             let ip = 0x0a00_0000 + at as u32 + 1;
             let me = Peer {
                 ip,
@@ -75,14 +75,14 @@
                 link_mbps: 10,
                 ..Peer::default()
             };
-            Machine {
+            Vm {
                 table: Table::open(me),
                 ip,
                 is_down: false,
                 round: 0,
                 begun: 0,
                 begun_at: TRAFFIC_AT_MS,
-                changed_at: 0,
+                role_changed_at: 0,
                 sent_bytes: 0,
                 crossing_bytes: 0,
                 fields: BTreeMap::new(),
@@ -90,10 +90,10 @@
         });
         Fleet {
             now: 0,
-            machines: machines.collect(),
+            vms: vms.collect(),
             replicas,
-            mail: BTreeMap::new(),
-            posted: 0,
+            in_transit: BTreeMap::new(),
+            sent_datagrams: 0,
             rng: StdRng::seed_from_u64(300),
         }
     }
@@ -101,52 +101,55 @@
     fn run(&mut self, until: u64) {
         while self.now < until {
             self.now += 1;
-            self.deliver();
-            self.beat();
-            for at in 0..self.machines.len() {
-                if (self.now + at as u64 * 37).is_multiple_of(PERIOD_MS) {
-                    self.tell(at, false);
+            self.deliver_datagrams();
+            self.deliver_heartbeats();
+            for at in 0..self.vms.len() {
+                if (self.now + at as u64 * 37)
+                    .is_multiple_of(ROUND_INTERVAL_MS)
+                {
+                    self.run_round(at, false);
                 }
             }
         }
     }
 
-    fn deliver(&mut self) {
-        while let Some(first) = self.mail.first_entry() {
+    fn deliver_datagrams(&mut self) {
+        while let Some(first) = self.in_transit.first_entry() {
             if first.key().0 > self.now {
                 return;
             }
             let (to, from, gossip) = first.remove();
-            if self.machines[to].is_down {
+            if self.vms[to].is_down {
                 continue;
             }
             let hello = gossip.hello;
             let (now, wall_ms) = (self.now, self.now as i64);
-            let asked = gossip.from.clone().unwrap_or_default();
-            self.machines[to].table.hear(now, wall_ms, gossip);
+            let asker = gossip.from.clone().unwrap_or_default();
+            self.vms[to].table.hear(now, wall_ms, gossip);
             if hello {
                 let own = self.own(to);
                 let answer =
-                    self.machines[to].table.answer(now, wall_ms, own, &asked);
-                self.post(to, from, answer);
+                    self.vms[to].table.answer(now, wall_ms, own, &asker);
+                self.send(to, from, answer);
             }
         }
     }
 
     /// Delivers the heartbeats that are due, each to a random node.
-    fn beat(&mut self) {
+    fn deliver_heartbeats(&mut self) {
         for replica in 0..self.replicas {
-            if (self.now + replica * 11).is_multiple_of(HEARTBEAT_MS) {
-                let at = self.rng.random_range(0..self.machines.len());
-                let says = self.says(replica, 0);
-                if !self.machines[at].is_down {
-                    self.machines[at].table.sight(self.now, says, true);
+            if (self.now + replica * 11).is_multiple_of(HEARTBEAT_INTERVAL_MS)
+            {
+                let at = self.rng.random_range(0..self.vms.len());
+                let sighting = self.sighting(replica, 0);
+                if !self.vms[at].is_down {
+                    self.vms[at].table.sight(self.now, sighting, true);
                 }
             }
         }
     }
 
-    fn says(&self, replica: u64, state: u32) -> Sighting {
+    fn sighting(&self, replica: u64, state: u32) -> Sighting {
         Sighting {
             id: format!("i-{replica:08x}"),
             service: "huvo11a".to_owned(),
@@ -164,36 +167,36 @@
     fn own(&mut self, at: usize) -> Own {
         let active = self.actives();
         let rate = match active.binary_search(&at) {
-            Ok(_) => REQUESTS / active.len() as u64,
+            Ok(_) => REQUESTS_PER_S / active.len() as u64,
             Err(_) => 0,
         };
-        let machine = &mut self.machines[at];
-        let passed = self.now.saturating_sub(machine.begun_at);
-        machine.begun_at = machine.begun_at.max(self.now);
-        let before = machine.begun / 1000;
-        machine.begun += rate * passed;
-        let begun = machine.begun / 1000;
+        let vm = &mut self.vms[at];
+        let elapsed_ms = self.now.saturating_sub(vm.begun_at);
+        vm.begun_at = vm.begun_at.max(self.now);
+        let before = vm.begun / 1000;
+        vm.begun += rate * elapsed_ms;
+        let begun = vm.begun / 1000;
         let at = at as u64;
         if begun == 0 {
             return Own::default();
         }
-        let under = (0..rate).map(|one| Under {
-            replica: (at * 31 + one * 7 + begun) % self.replicas,
+        let under = (0..rate).map(|number| Under {
+            replica: (at * 31 + number * 7 + begun) % self.replicas,
             count: 1,
             pending: 3000,
         });
         let spent = (0..TEAMS)
             .map(|team| Spent { team, tokens: begun * 6000 / TEAMS });
-        let cached = (0..rate.min(24)).map(|one| Cached {
+        let cached = (0..rate.min(24)).map(|number| Cached {
             service: 5,
-            replica: one,
-            path: begun + one,
+            replica: number,
+            path: begun + number,
             blocks: 8,
         });
         for _ in before..begun {
             let team = self.rng.random_range(0..TEAMS);
             let team = format!("team{team:04}");
-            machine.table.count_began(self.now / 5000, &team);
+            vm.table.count_began(self.now / 5000, &team);
         }
         Own {
             under: under.collect(),
@@ -205,65 +208,65 @@
         }
     }
 
-    fn tell(&mut self, at: usize, is_urgent: bool) {
-        if self.machines[at].is_down {
+    fn run_round(&mut self, at: usize, is_urgent: bool) {
+        if self.vms[at].is_down {
             return;
         }
         let own = self.own(at);
         let (now, wall_ms) = (self.now, self.now as i64);
         let seeds: Vec<Ipv4Addr> =
-            self.machines[..3].iter().map(|one| one.ip.into()).collect();
-        let machine = &mut self.machines[at];
-        machine.round += u64::from(!is_urgent);
-        let round = Round { now, wall_ms, number: machine.round, is_urgent };
+            self.vms[..3].iter().map(|vm| vm.ip.into()).collect();
+        let vm = &mut self.vms[at];
+        vm.round += u64::from(!is_urgent);
+        let round = Round { now, wall_ms, number: vm.round, is_urgent };
         if !is_urgent {
-            machine.table.expire(self.now);
-            let begun = machine.begun / 1000;
-            let has_changed = machine.table.review(self.now, begun).is_some();
+            vm.table.expire(self.now);
+            let begun = vm.begun / 1000;
+            let has_changed = vm.table.update_role(self.now, begun).is_some();
             if has_changed {
-                machine.changed_at = self.now;
-                self.tell(at, true);
+                vm.role_changed_at = self.now;
+                self.run_round(at, true);
             }
         }
-        let machine = &mut self.machines[at];
-        let sendings = machine.table.round(round, own, &seeds);
-        for Sending { to, gossip } in sendings {
+        let vm = &mut self.vms[at];
+        let datagrams = vm.table.round(round, own, &seeds);
+        for Datagram { to, gossip } in datagrams {
             for to in to {
-                self.post(at, to.into(), gossip.clone());
+                self.send(at, to.into(), gossip.clone());
             }
         }
     }
 
-    fn post(&mut self, from: usize, to: u32, gossip: Gossip) {
-        let Some(to) = self.at(to) else { return };
+    fn send(&mut self, from: usize, to: u32, gossip: Gossip) {
+        let Some(to) = self.position_of(to) else { return };
         let bytes = gossip.encoded_len() as u64;
-        let machine = &mut self.machines[from];
-        machine.sent_bytes += bytes;
+        let vm = &mut self.vms[from];
+        vm.sent_bytes += bytes;
         if data_centre(from) != data_centre(to) {
-            machine.crossing_bytes += bytes;
+            vm.crossing_bytes += bytes;
         }
         for (field, length) in lengths(&gossip) {
-            *machine.fields.entry(field).or_default() += length;
+            *vm.fields.entry(field).or_default() += length;
         }
-        let from = machine.ip;
-        if self.rng.random_range(0..LOST) == 0 {
+        let from = vm.ip;
+        if self.rng.random_range(0..DATAGRAMS_PER_LOSS) == 0 {
             return;
         }
-        self.posted += 1;
-        let due = self.now + 1 + self.posted % 2;
-        self.mail.insert((due, self.posted), (to, from, gossip));
+        self.sent_datagrams += 1;
+        let due = self.now + 1 + self.sent_datagrams % 2;
+        self.in_transit.insert((due, self.sent_datagrams), (to, from, gossip));
     }
 
-    fn at(&self, ip: u32) -> Option<usize> {
-        self.machines.iter().position(|one| one.ip == ip)
+    fn position_of(&self, ip: u32) -> Option<usize> {
+        self.vms.iter().position(|vm| vm.ip == ip)
     }
 
     /// Returns the nodes that callers are sent to.
     fn actives(&self) -> Vec<usize> {
-        let all = 0..self.machines.len();
+        let all = 0..self.vms.len();
         all.filter(|&at| {
-            let machine = &self.machines[at];
-            !machine.is_down && machine.table.is_active()
+            let vm = &self.vms[at];
+            !vm.is_down && vm.table.is_active()
         })
         .collect()
     }
@@ -271,37 +274,38 @@
     /// Returns, per thousand, the share of pairs in which a node does not hand
     /// out another node of its data centre that has been active for two
     /// seconds.
-    fn missed(&self) -> u64 {
+    fn missed_per_mille(&self) -> u64 {
         let mut actives = self.actives();
-        actives.retain(|&at| self.now >= self.machines[at].changed_at + 2000);
+        actives.retain(|&at| self.now >= self.vms[at].role_changed_at + 2000);
         let (mut pairs, mut missed) = (0, 0);
-        for (at, machine) in self.machines.iter().enumerate() {
+        for (at, vm) in self.vms.iter().enumerate() {
             let near = data_centre(at);
-            let handed = machine.table.handed_out(self.now, Some(&near));
-            let same = actives.iter().filter(|&&one| data_centre(one) == near);
-            for &active in same.filter(|&&one| one != at) {
+            let handed_out = vm.table.handed_out(self.now, Some(&near));
+            let same =
+                actives.iter().filter(|&&active| data_centre(active) == near);
+            for &active in same.filter(|&&active| active != at) {
                 pairs += 1;
-                let ip = Ipv4Addr::from(self.machines[active].ip);
-                missed += u64::from(!handed.contains(&ip));
+                let ip = Ipv4Addr::from(self.vms[active].ip);
+                missed += u64::from(!handed_out.contains(&ip));
             }
         }
         missed * 1000 / pairs.max(1)
     }
 
     fn clear_counts(&mut self) {
-        for machine in &mut self.machines {
-            machine.sent_bytes = 0;
-            machine.crossing_bytes = 0;
-            machine.fields.clear();
+        for vm in &mut self.vms {
+            vm.sent_bytes = 0;
+            vm.crossing_bytes = 0;
+            vm.fields.clear();
         }
     }
 
     /// Returns the bytes that a node sends each second, averaged over all
     /// nodes: in total, and to other data centres.
-    fn bytes(&self, over_ms: u64) -> (u64, u64) {
-        let nodes = self.machines.len() as u64;
-        let sent: u64 = self.machines.iter().map(|one| one.sent_bytes).sum();
-        let crossing = self.machines.iter().map(|one| one.crossing_bytes);
+    fn bytes_per_s(&self, over_ms: u64) -> (u64, u64) {
+        let nodes = self.vms.len() as u64;
+        let sent: u64 = self.vms.iter().map(|vm| vm.sent_bytes).sum();
+        let crossing = self.vms.iter().map(|vm| vm.crossing_bytes);
         let crossing: u64 = crossing.sum();
         let each = |bytes: u64| bytes * 1000 / over_ms / nodes;
         (each(sent), each(crossing))
@@ -309,11 +313,10 @@
 
     fn print_fields(&self, over_ms: u64) {
         let mut sum: BTreeMap<&str, u64> = BTreeMap::new();
-        for (field, bytes) in self.machines.iter().flat_map(|one| &one.fields)
-        {
+        for (field, bytes) in self.vms.iter().flat_map(|vm| &vm.fields) {
             *sum.entry(field).or_default() += bytes;
         }
-        let nodes = self.machines.len() as u64;
+        let nodes = self.vms.len() as u64;
         for (field, bytes) in sum {
             println!("  {field}: {} B/s", bytes * 1000 / over_ms / nodes);
         }
@@ -362,19 +365,19 @@
 fn nodes_know_each_other_at_any_size_for_few_bytes() {
     for nodes in [10, 70, 300, 410] {
         let mut fleet = Fleet::open(nodes, replicas_for(nodes));
-        fleet.run(SETTLED_MS);
+        fleet.run(SETTLED_AT_MS);
         fleet.clear_counts();
         let mut worst = 0;
         for step in 1..=6 {
-            fleet.run(SETTLED_MS + step * 500);
-            worst = worst.max(fleet.missed());
+            fleet.run(SETTLED_AT_MS + step * 500);
+            worst = worst.max(fleet.missed_per_mille());
         }
-        let (sent, crossing) = fleet.bytes(3000);
+        let (sent, crossing) = fleet.bytes_per_s(3000);
         let actives = fleet.actives().len();
         println!("{nodes} nodes, {actives} active: {sent} B/s a node,");
         println!("  {crossing} to other data centres; {worst} in 1000 missed");
         fleet.print_fields(3000);
-        assert!(worst <= 2, "{nodes}: {worst} in 1000 are suspected");
+        assert!(worst <= 2, "{nodes}: {worst} in 1000 are not handed out");
     }
 }
 
@@ -386,7 +389,7 @@
 /// are a part of three hundred. To the others it appeared to serve behind a
 /// network partition, and its shares of all quotas were left out.
 #[test]
-fn nodes_that_step_back_do_not_count_as_cut_off() {
+fn nodes_that_stop_being_active_do_not_count_as_unheard() {
     for nodes in [70, 300] {
         let mut fleet = Fleet::open(nodes, replicas_for(nodes));
         for after_ms in [0, 2000, 4000, 6000, 12_000] {
@@ -394,7 +397,7 @@
             let now = fleet.now;
             let mut parts = Vec::new();
             for at in fleet.actives() {
-                let (entries, unheard) = fleet.machines[at].table.reach(now);
+                let (entries, unheard) = fleet.vms[at].table.reach(now);
                 parts.push(unheard * 1000 / entries);
             }
             let mean = parts.iter().sum::<usize>() / parts.len();
@@ -408,25 +411,25 @@
 /// they leave. A data centre is reclaimed; a sixth of the replicas announce
 /// that they leave, each to a random one of three hundred nodes.
 #[test]
-fn all_know_within_two_seconds_that_replicas_leave() {
+fn all_nodes_know_within_two_seconds_that_replicas_leave() {
     for nodes in [70, 300] {
         let mut fleet = Fleet::open(nodes, replicas_for(nodes));
-        fleet.run(SETTLED_MS);
+        fleet.run(SETTLED_AT_MS);
         let leaving: Vec<u64> =
-            (0..fleet.replicas).filter(|one| one % 6 == 0).collect();
+            (0..fleet.replicas).filter(|replica| replica % 6 == 0).collect();
         for &replica in &leaving {
             let at = fleet.rng.random_range(0..nodes);
-            let says = fleet.says(replica, 1);
-            fleet.machines[at].table.sight(fleet.now, says, true);
-            fleet.tell(at, true);
+            let sighting = fleet.sighting(replica, 1);
+            fleet.vms[at].table.sight(fleet.now, sighting, true);
+            fleet.run_round(at, true);
         }
-        fleet.run(SETTLED_MS + 2000);
+        fleet.run(SETTLED_AT_MS + 2000);
         let mut late = 0;
-        for machine in &fleet.machines {
-            let ready = machine.table.replicas().iter();
+        for vm in &fleet.vms {
+            let ready = vm.table.replicas().iter();
             late += ready
-                .filter(|one| one.state == State::Ready)
-                .filter(|one| one.says.ip % 6 == 0x0a80_0000 % 6)
+                .filter(|replica| replica.state == State::Ready)
+                .filter(|replica| replica.says.ip % 6 == 0x0a80_0000 % 6)
                 .count();
         }
         let pairs = leaving.len() * nodes;
@@ -441,23 +444,26 @@
 fn dead_nodes_are_not_handed_out_for_long() {
     for nodes in [10, 70, 300] {
         let mut fleet = Fleet::open(nodes, replicas_for(nodes));
-        fleet.run(SETTLED_MS);
-        let dead: Vec<usize> =
+        fleet.run(SETTLED_AT_MS);
+        let down_nodes: Vec<usize> =
             fleet.actives().into_iter().filter(|at| at % 10 == 7).collect();
-        for &at in &dead {
-            fleet.machines[at].is_down = true;
+        for &at in &down_nodes {
+            fleet.vms[at].is_down = true;
         }
         // Silence is noticed after 1.8 s, or 3 s on a standby node.
-        fleet.run(SETTLED_MS + 4000);
-        for (at, machine) in fleet.machines.iter().enumerate() {
+        fleet.run(SETTLED_AT_MS + 4000);
+        for (at, vm) in fleet.vms.iter().enumerate() {
             let near = data_centre(at);
-            let handed = machine.table.handed_out(fleet.now, Some(&near));
-            if machine.is_down {
+            let handed_out = vm.table.handed_out(fleet.now, Some(&near));
+            if vm.is_down {
                 continue;
             }
-            for &one in &dead {
-                let ip = Ipv4Addr::from(fleet.machines[one].ip);
-                assert!(!handed.contains(&ip), "{nodes}: {at} names {one}");
+            for &down in &down_nodes {
+                let ip = Ipv4Addr::from(fleet.vms[down].ip);
+                assert!(
+                    !handed_out.contains(&ip),
+                    "{nodes}: {at} hands out {down}"
+                );
             }
         }
     }
