--- a/benches/admit.rs
+++ b/benches/admit.rs
@@ -1,12 +1,13 @@
-//! Admission under load, in virtual time: no process, no clock.
+//! Admission under load, in virtual time, without processes or clocks.
 //!
 //! ```text
 //! cargo bench --bench admit
 //! ```
 //!
-//! One gate with 40 slots before five equal teams; a request holds its slot
-//! for 800 to 1,200 ms and must start within 3 s. Beside it, on the same
-//! arrivals, a plain queue: first come, first served, nobody refused.
+//! One gate with 40 slots serves five teams of equal weight. A request holds
+//! its slot for 800 to 1,200 ms and must start within 3 s. For comparison, a
+//! plain first-in, first-out queue that refuses no request serves the same
+//! arrivals.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,27 +15,27 @@
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
 const SLOTS: u32 = 40;
-const LENGTH_MS: u64 = 120_000;
+const DURATION_MS: u64 = 120_000;
 const START_WITHIN_MS: u64 = 3000;
 const TEAMS: [&str; 5] = ["large", "small-1", "small-2", "small-3", "small-4"];
 
 struct Request {
     at: u64,
     team: usize,
-    hold: u64,
+    hold_ms: u64,
 }
 
-/// Arrivals with these rates, in requests a second for each team.
+/// Draws random arrivals at these rates, in requests a second for each team.
 fn arrivals(rates: [f64; 5]) -> Vec<Request> {
     let mut rng = StdRng::seed_from_u64(7);
     let mut all = Vec::new();
     for (team, rate) in rates.into_iter().enumerate() {
         let mut at = 0.0;
-        while rate > 0.0 && at < LENGTH_MS as f64 {
+        while rate > 0.0 && at < DURATION_MS as f64 {
             let draw: f64 = rng.random_range(1e-9..1.0);
             at -= draw.ln() * 1000.0 / rate;
-            let hold = rng.random_range(800..=1200);
-            all.push(Request { at: at as u64, team, hold });
+            let hold_ms = rng.random_range(800..=1200);
+            all.push(Request { at: at as u64, team, hold_ms });
         }
     }
     all.sort_by_key(|request| request.at);
@@ -42,14 +43,14 @@
 }
 
 #[derive(Default)]
-struct Result {
-    /// Waits of the requests that started in time, by team.
+struct Outcome {
+    /// Wait of each request that started, in ms, by team.
     waits: [Vec<u64>; 5],
     in_time: usize,
     refused: usize,
 }
 
-impl Result {
+impl Outcome {
     fn p95(&self, team: usize) -> u64 {
         let mut waits = self.waits[team].clone();
         waits.sort_unstable();
@@ -64,20 +65,20 @@
     }
 }
 
-fn with_gate(requests: &[Request]) -> Result {
+fn run_gate(requests: &[Request]) -> Outcome {
     let mut gate = Gate::open(1000.0);
     gate.set_teams(TEAMS.into_iter().map(|team| (team, 1)), 10_000);
-    let mut result = Result::default();
+    let mut result = Outcome::default();
     let mut waiting: BTreeMap<Ticket, usize> = BTreeMap::new();
     let mut running: Vec<(u64, usize)> = Vec::new();
     let mut next = 0;
-    for now in 0..LENGTH_MS {
+    for now in 0..DURATION_MS {
         running.retain(|(until, at)| {
             if *until > now {
                 return true;
             }
             let request = &requests[*at];
-            gate.done(TEAMS[request.team], request.hold as f32);
+            gate.done(TEAMS[request.team], request.hold_ms as f32);
             false
         });
         let room = |gate: &Gate| Room {
@@ -92,16 +93,16 @@
         while let Some(ticket) = gate.next(room(&gate)) {
             let Some(at) = waiting.remove(&ticket) else { continue };
             result.start(now, &requests[at]);
-            running.push((now + requests[at].hold, at));
+            running.push((now + requests[at].hold_ms, at));
         }
         while next < requests.len() && requests[next].at <= now {
             let request = &requests[next];
             let team = TEAMS[request.team];
-            let by = now + START_WITHIN_MS;
-            match gate.arrive(now, room(&gate), team, 1.0, by) {
+            let start_by = now + START_WITHIN_MS;
+            match gate.arrive(now, room(&gate), team, 1.0, start_by) {
                 Arrival::Start => {
                     result.start(now, request);
-                    running.push((now + request.hold, next));
+                    running.push((now + request.hold_ms, next));
                 }
                 Arrival::Wait(ticket) => {
                     waiting.insert(ticket, next);
@@ -114,12 +115,12 @@
     result
 }
 
-fn first_come(requests: &[Request]) -> Result {
-    let mut result = Result::default();
+fn run_fifo(requests: &[Request]) -> Outcome {
+    let mut result = Outcome::default();
     let mut queue: VecDeque<usize> = VecDeque::new();
     let mut running: Vec<u64> = Vec::new();
     let mut next = 0;
-    for now in 0..LENGTH_MS {
+    for now in 0..DURATION_MS {
         running.retain(|until| *until > now);
         while next < requests.len() && requests[next].at <= now {
             queue.push_back(next);
@@ -129,7 +130,7 @@
             && let Some(at) = queue.pop_front()
         {
             result.start(now, &requests[at]);
-            running.push(now + requests[at].hold);
+            running.push(now + requests[at].hold_ms);
         }
     }
     result
@@ -139,36 +140,36 @@
     println!(
         "{:26} {:10} {:>9} {:>9} {:>11} {:>9} {:>8}",
         "load",
-        "by",
+        "queue",
         "large p95",
         "small p95",
         "in time /s",
         "refused",
         "arrived"
     );
-    // 40 slots of a second each: 40 requests a second, 8 a team.
+    // 40 slots that are held for 1 s each serve 40 requests a second, 8 for
+    // each team.
     let small = [4.0; 4];
-    let with = |large: f64, small: [f64; 4]| {
+    let rates_of = |large: f64, small: [f64; 4]| {
         [large, small[0], small[1], small[2], small[3]]
     };
     for (name, rates) in [
-        ("small teams alone", with(0.0, small)),
-        ("large at 5 times its share", with(40.0, small)),
+        ("small teams only", rates_of(0.0, small)),
+        ("large at 5 times its share", rates_of(40.0, small)),
         ("all at 0.9 of the slots", [7.2; 5]),
         ("all at the slots", [8.0; 5]),
         ("all at 3 times the slots", [24.0; 5]),
     ] {
         let requests = arrivals(rates);
-        for (by, result) in [
-            ("gate", with_gate(&requests)),
-            ("in order", first_come(&requests)),
-        ] {
-            let smalls = (1..5).map(|team| result.p95(team)).max();
+        for (queue, result) in
+            [("gate", run_gate(&requests)), ("fifo", run_fifo(&requests))]
+        {
+            let small_p95 = (1..5).map(|team| result.p95(team)).max();
             println!(
-                "{name:26} {by:10} {:9} {:9} {:11.1} {:9} {:8}",
+                "{name:26} {queue:10} {:9} {:9} {:11.1} {:9} {:8}",
                 result.p95(0),
-                smalls.unwrap_or(0),
-                result.in_time as f64 * 1000.0 / LENGTH_MS as f64,
+                small_p95.unwrap_or(0),
+                result.in_time as f64 * 1000.0 / DURATION_MS as f64,
                 result.refused,
                 requests.len(),
             );
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,8 +1,9 @@
-//! Decisions, apart from any I/O: where a request goes, and whether it may.
+//! Request routing and admission logic, free of I/O.
 //!
-//! Nothing here has a clock, a socket or randomness of its own; the time and
-//! seeds are passed in. The entries drive these types behind a mutex, and
-//! `benches/` and the tests drive them directly.
+//! Nothing in this module reads a clock, opens a socket or draws random
+//! numbers: callers pass in the time and the seeds. Nodes and entries call
+//! these types while holding a mutex; `benches/` and the tests call them
+//! directly.
 
 pub mod admit;
 pub mod moving;
