--- a/src/decide/rate_limit.rs
+++ b/src/decide/rate_limit.rs
@@ -1,187 +1,206 @@
-//! The rate of requests that a replica takes, as it names it in its answers.
+//! Rate limits that replicas announce in their answers.
 //!
-//! A replica in need names the requests a second that it takes from all nodes
-//! together, in each answer until it is well again. Answers overtake each
-//! other, and other nodes tell what they were answered, so each [`Statement`]
-//! has the moment that it is known to hold for, and the newest one counts:
+//! A replica under pressure announces the number of requests a second that it
+//! accepts from all nodes together. It repeats the limit in each answer until
+//! it recovers. Answers can overtake each other, and other nodes forward the
+//! limits that they received, so each [`Statement`] carries the time from
+//! which it is known to hold, and the newest one wins:
 //!
-//! - a limit, when the answer that names it came in;
-//! - that there is none, when the request was sent that was answered without
-//!   one: the replica may have written that answer at any moment since.
+//! - A limit holds from the time at which the answer with it arrived.
+//! - The absence of a limit holds from the time at which the request was sent
+//!   that was answered without one, because the replica may have written that
+//!   answer at any time since then.
 //!
 //! # How nodes share a limit
 //!
-//! Nodes learn of each other's requests some tenths of a second late, in which
-//! dozens of them could each send a request to a replica that takes one a
-//! second. So a limit is divided: for each replica an order of the active
-//! nodes, which all find alike, says which of them have a [`share`] of it. Each
-//! of these spends its share by itself, from a [`Bucket`]. Few large shares
-//! serve a node's callers better than many that give each node a request in a
-//! minute; shares that are too few leave a limit unused where a node has fewer
-//! requests than its share. While nodes disagree about who is active a replica
-//! may get a share twice, so a share that a node comes into begins empty.
+//! Nodes learn of each other's requests a few tenths of a second late. In that
+//! time, dozens of nodes could each send a request to a replica that accepts
+//! one a second. So a limit is divided: each replica has an order of the
+//! active nodes, which every node computes alike, and the first nodes in that
+//! order have a [`share`] of the limit. Each of these nodes spends its share
+//! independently, from a [`Bucket`]. A few large shares serve callers better
+//! than many shares that each allow a node one request a minute. Too few
+//! shares leave part of a limit unused when a node has fewer requests than its
+//! share allows. While nodes disagree on which nodes are active, a share may
+//! be assigned twice, so the bucket of a newly assigned share starts empty.
 //!
-//! Ways not taken: running totals as for quotas (all nodes see the same bucket
-//! fill up and send together); asking one node for each request (a hop, and
-//! more to decide when that node dies).
+//! Alternatives rejected:
+//!
+//! - Running totals, as for quotas: all nodes see the same bucket fill up and
+//!   send at the same time.
+//! - Asking one node for permission for each request: this costs a hop, and
+//!   needs more logic for the crash of that node.
 
 use crate::util::position;
 
-/// Shares of a limit for each request a second, besides one. Each share can
-/// give out one request at once, whatever its rate, so a small limit has few.
+/// Number of shares for each request a second of a limit, in addition to the
+/// first share. Each share can send one request at once, whatever its rate, so
+/// a small limit has few shares.
 const SHARES_PER_RATE: f32 = 1.5;
-/// The least that is sent to a replica, in requests a second: one that gets
-/// nothing could never say that it takes more again.
-const LEAST_PER_S: f32 = 0.1;
-/// A share saves up what it gives in this time, in s, and one request: callers
-/// come in no even pace.
-const SAVED_S: f32 = 0.25;
-/// That a replica has no limit any more is told for so long, in ms: longer than
-/// old word of the limit goes round.
-const LIFTED_MS: i64 = 10_000;
-/// The limit of a replica that is not known here is kept for so long, in ms:
-/// it may have been silent, or this node may have just started.
-const UNKNOWN_MS: i64 = 60_000;
-/// News are told in each datagram for so long, in ms: in four rounds of the
-/// mesh, as a datagram may be lost.
-const TELL_MS: i64 = 1300;
-/// Statements in one datagram, at some 20 bytes each.
-const TOLD: usize = 32;
-
-/// A statement about one replica.
+/// Minimum rate at which requests are sent to a replica, in requests a second.
+/// A replica that receives no requests could never announce a higher limit.
+const MIN_RATE_PER_S: f32 = 0.1;
+/// Burst of a share: the requests that it allows in this time, in s, plus one
+/// request. Callers do not send requests at an even pace.
+const BURST_S: f32 = 0.25;
+/// Time for which the end of a limit is kept and reported, in ms: longer than
+/// outdated reports of the limit circulate.
+const LIFTED_LIMIT_RETENTION_MS: i64 = 10_000;
+/// Time for which the limit of a replica is kept that is not in the fleet of
+/// this node, in ms. The replica may have been silent, or this node may have
+/// just started.
+const UNKNOWN_REPLICA_RETENTION_MS: i64 = 60_000;
+/// Time for which a new statement is sent with every datagram, in ms: four
+/// rounds of the mesh, as a datagram may be lost.
+const NEW_STATEMENT_MS: i64 = 1300;
+/// Maximum number of statements in one datagram, at some 20 bytes each.
+const MAX_DATAGRAM_STATEMENTS: usize = 32;
+
+/// The rate limit of one replica, as of one point in time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Statement {
-    /// The hash of its id.
+    /// Hash of the replica's ID.
     pub replica: u64,
-    /// Requests a second from all nodes; `None` for any.
+    /// Requests a second that the replica accepts from all nodes together;
+    /// `None` without a limit.
     pub rate: Option<f32>,
-    /// Since when it is known to hold, in ms by this node's clock.
+    /// Time from which the limit is known to hold, in ms by this node's clock.
     pub at: i64,
 }
 
-/// What a statement has changed.
+/// The effect of a new statement.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Change {
-    /// The rate that was known before; `None` for any.
+    /// Rate that was known before; `None` without a limit.
     pub before: Option<f32>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct Record {
     statement: Statement,
-    /// When its rate became known here.
+    /// Time at which this node learned of the rate, in ms.
     learned_at: i64,
 }
 
-/// What the replicas of all services have named.
+/// Known rate limits of the replicas of all services.
 #[derive(Debug, Default)]
 pub struct RateLimits {
-    /// The newest of each replica that has named a limit; sorted by replica.
-    known: Vec<Known>,
-    next_told: usize,
+    /// Newest statement on each replica that has announced a limit, sorted by
+    /// replica.
+    records: Vec<Record>,
+    next_index: usize,
 }
 
 impl RateLimits {
-    /// Takes a statement; tells what it changes, if anything.
+    /// Records a statement. Returns the change, if the rate has changed.
     ///
-    /// That a replica which never named a limit has none is not kept.
+    /// The absence of a limit is not recorded for a replica that has never
+    /// announced one.
     pub fn note(&mut self, now: i64, statement: Statement) -> Option<Change> {
-        let new = Known { statement, learned_at: now };
+        let record = Record { statement, learned_at: now };
         match self.find(statement.replica) {
-            Ok(at) if self.known[at].statement.at < statement.at => {
-                let before = self.known[at].statement.rate;
+            Ok(at) if self.records[at].statement.at < statement.at => {
+                let before = self.records[at].statement.rate;
                 if before == statement.rate {
-                    self.known[at].statement = statement;
+                    self.records[at].statement = statement;
                     return None;
                 }
-                self.known[at] = new;
+                self.records[at] = record;
                 Some(Change { before })
             }
             Ok(_) => None,
             Err(_) if statement.rate.is_none() => None,
             Err(at) => {
-                self.known.insert(at, new);
+                self.records.insert(at, record);
                 Some(Change { before: None })
             }
         }
     }
 
-    /// The rate that a replica takes, if it has a limit.
+    /// Returns the limit of a replica in requests a second, if it has one.
     pub fn rate(&self, replica: u64) -> Option<f32> {
         let found = self.find(replica).ok();
-        found.and_then(|at| self.known[at].statement.rate)
+        found.and_then(|at| self.records[at].statement.rate)
     }
 
-    /// Replicas that have a limit, and the rates that they take; sorted.
+    /// Returns the replicas that have a limit, with their rates, sorted by
+    /// replica.
     pub fn limited(&self) -> impl Iterator<Item = (u64, f32)> + '_ {
-        self.statements().filter_map(|one| Some((one.replica, one.rate?)))
+        self.statements()
+            .filter_map(|statement| Some((statement.replica, statement.rate?)))
     }
 
-    /// True when no replica has a limit.
+    /// Returns whether no replica has a limit.
     pub fn is_empty(&self) -> bool {
         self.limited().next().is_none()
     }
 
-    /// What is told in the next datagram: news, and some of the rest in turn.
+    /// Returns the statements for the next datagram: all new ones, up to the
+    /// maximum, and some of the others in turn.
     pub fn tell(&mut self, now: i64) -> Vec<Statement> {
-        let is_new = |one: &&Known| now < one.learned_at + TELL_MS;
-        let news = self.known.iter().filter(is_new).take(TOLD);
-        let mut told: Vec<Statement> = news.map(|one| one.statement).collect();
+        let is_new =
+            |record: &&Record| now < record.learned_at + NEW_STATEMENT_MS;
+        let new =
+            self.records.iter().filter(is_new).take(MAX_DATAGRAM_STATEMENTS);
+        let mut sent: Vec<Statement> =
+            new.map(|record| record.statement).collect();
         let rest: Vec<Statement> = self
-            .known
+            .records
             .iter()
-            .filter(|one| !is_new(one))
-            .map(|one| one.statement)
+            .filter(|record| !is_new(record))
+            .map(|record| record.statement)
             .collect();
-        let count = rest.len().min(TOLD - told.len());
-        let from = self.next_told;
-        told.extend((0..count).map(|step| rest[(from + step) % rest.len()]));
-        self.next_told = from.wrapping_add(count);
-        told
+        let count = rest.len().min(MAX_DATAGRAM_STATEMENTS - sent.len());
+        let start = self.next_index;
+        sent.extend((0..count).map(|step| rest[(start + step) % rest.len()]));
+        self.next_index = start.wrapping_add(count);
+        sent
     }
 
-    /// All of it, for a node that starts.
+    /// Returns all statements, for a node that starts.
     pub fn statements(&self) -> impl Iterator<Item = Statement> + '_ {
-        self.known.iter().map(|one| one.statement)
+        self.records.iter().map(|record| record.statement)
     }
 
-    /// Drops what is past its time.
+    /// Removes ended limits, and limits of unknown replicas, when their
+    /// retention time has passed.
     pub fn expire(&mut self, now: i64, is_known: impl Fn(u64) -> bool) {
-        self.known.retain(|Known { statement, .. }| match statement.rate {
-            None => now < statement.at + LIFTED_MS,
+        self.records.retain(|Record { statement, .. }| match statement.rate {
+            None => now < statement.at + LIFTED_LIMIT_RETENTION_MS,
             Some(_) => {
-                now < statement.at + UNKNOWN_MS || is_known(statement.replica)
+                now < statement.at + UNKNOWN_REPLICA_RETENTION_MS
+                    || is_known(statement.replica)
             }
         });
     }
 
     fn find(&self, replica: u64) -> Result<usize, usize> {
-        position(&self.known, &replica, |one| &one.statement.replica)
+        position(&self.records, &replica, |record| &record.statement.replica)
     }
 }
 
-/// The requests a second that one node may send to a replica that takes
-/// `rate` from all: the node's `rank` in the order of the active ones, from 0,
-/// and how many there are.
+/// Returns the requests a second that one node may send to a replica that
+/// accepts `rate` requests a second from all nodes. `rank` is the position of
+/// the node in the order of the `nodes` active nodes, from 0.
 pub fn share(rate: f32, rank: usize, nodes: usize) -> f32 {
-    let rate = rate.max(LEAST_PER_S);
+    let rate = rate.max(MIN_RATE_PER_S);
     let shares = 1 + (rate * SHARES_PER_RATE) as usize;
     let shares = shares.clamp(1, nodes.max(1));
     if rank < shares { rate / shares as f32 } else { 0.0 }
 }
 
-/// One node's part of a replica's limit.
+/// One node's share of a replica's rate limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Part {
-    /// The hash of the replica's id.
+    /// Hash of the replica's ID.
     pub replica: u64,
-    /// Requests a second that the replica takes from all nodes.
+    /// Requests a second that the replica accepts from all nodes together.
     pub limit: f32,
-    /// Requests a second that this node may send it.
+    /// Requests a second that this node may send to the replica.
     pub share: f32,
 }
 
-/// What one node may still send to one replica: a token bucket.
+/// Token bucket for the requests that one node may send to one replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bucket {
     part: Part,
@@ -190,12 +209,13 @@
 }
 
 impl Bucket {
-    /// Begins empty.
+    /// Creates an empty bucket.
     pub fn open(now: u64, part: Part) -> Bucket {
         Bucket { part, level: 0.0, filled_at: now }
     }
 
-    /// Takes another limit, or another share of it.
+    /// Updates the limit and the share. The bucket becomes empty if the old or
+    /// the new share is 0.
     pub fn set(&mut self, now: u64, part: Part) {
         if self.part.share == 0.0 || part.share == 0.0 {
             *self = Bucket::open(now, part);
@@ -206,30 +226,31 @@
         self.part = part;
     }
 
-    /// The requests a second that the replica takes from all nodes.
+    /// Returns the requests a second that the replica accepts from all nodes
+    /// together.
     pub fn limit(&self) -> f32 {
         self.part.limit
     }
 
-    /// True when a request may be sent.
+    /// Returns whether a request may be sent.
     pub fn has_room(&self, now: u64) -> bool {
         self.level(now) >= 1.0
     }
 
-    /// Counts a request.
+    /// Takes the token for one request.
     pub fn take(&mut self, now: u64) {
         self.level = self.level(now) - 1.0;
         self.filled_at = now;
     }
 
-    /// Takes back one that was not sent.
+    /// Returns the token of a request that was not sent.
     pub fn give_back(&mut self) {
         self.level += 1.0;
     }
 
     fn level(&self, now: u64) -> f32 {
-        let passed_s = now.saturating_sub(self.filled_at) as f32 / 1000.0;
-        let most = 1.0 + self.part.share * SAVED_S;
-        (self.level + passed_s * self.part.share).min(most)
+        let elapsed_s = now.saturating_sub(self.filled_at) as f32 / 1000.0;
+        let capacity = 1.0 + self.part.share * BURST_S;
+        (self.level + elapsed_s * self.part.share).min(capacity)
     }
 }
