--- a/src/decide/quarantine/mod.rs
+++ b/src/decide/quarantine/mod.rs
@@ -1,37 +1,49 @@
-//! Requests that are kept from replicas, as they end those that run them.
+//! Quarantine of requests that crash the replicas that run them.
 //!
-//! Some request ends each replica that begins to run it, and its caller sends
-//! it again and again, each time under another id and at any node. Each time
-//! it takes a replica away for seconds, with all that others had there. So
-//! nodes remember which requests were under way at a replica that ended, by
-//! what they ask for, and tell each other. Three such ends without a success
-//! keep a request away.
+//! A request may crash every replica that starts to run it, while its caller
+//! sends it again and again, each time under another ID and to any node. Each
+//! crash takes a replica away for seconds, along with all other requests in
+//! flight there. So nodes record which requests were in flight at a replica
+//! that crashed, identified by a fingerprint of what they ask for, and report
+//! these records to each other. A request with three such crashes and no
+//! success is quarantined.
 //!
-//! All that were under way are noted, as nobody can tell the one that did it
-//! from those beside it. Three things tell them apart afterwards: bystanders
-//! are at one end, not at three; they succeed elsewhere, and a success clears
-//! whatever was noted before it, also where that becomes known later; and where
-//! many replicas end together, that has another cause, and none of it counts,
-//! unless other requests explain it that end replicas one after the other.
+//! Every request in flight at a crash is recorded, because no node can tell
+//! the cause of the crash from its bystanders. Three properties tell them
+//! apart later:
 //!
-//! An end has one moment, the earliest at which any node noticed it. A request
-//! that broke off later was sent to a replica that was away already, as where a
-//! relay accepts connections for it, and does not count.
+//! - Bystanders are in flight at one crash, not at three.
+//! - Bystanders succeed elsewhere. A success clears every crash recorded
+//!   before it, including crashes that are reported later.
+//! - Many replicas that crash together have another cause, an outage. None of
+//!   these crashes counts, unless other requests that crash replicas one after
+//!   the other explain them.
 //!
-//! That a replica has ended is certain only seconds later. Until then an end is
-//! suspected, and withdrawn as soon as the replica is heard. Suspected ends
-//! count beside certain ones, for as long as it takes to be certain: a request
-//! that ends replicas would otherwise end one after the other meanwhile.
+//! A crash has one time, the earliest at which any node noticed it. A request
+//! whose connection broke later was sent to a replica that was already down,
+//! for instance through a relay that accepts connections for it, so that crash
+//! does not count against the request.
 //!
-//! Whoever is kept away can't succeed any more, and may be a bystander after
-//! all: what a team asks all the time is at every end of a service that fails
-//! for another reason. So a request is tried again after a while, at one node
-//! first; it is free if that ends well, and kept away for longer if not.
+//! A crash is confirmed only seconds after it happened. Until then it is
+//! suspected, and the suspicion is withdrawn as soon as the replica is heard.
+//! Suspected crashes count like confirmed ones for as long as a confirmation
+//! takes. Otherwise a request could crash one replica after the other in the
+//! meantime.
 //!
-//! Ways not taken: sending a suspect to a replica that has nothing else (there
-//! is none to spare under load); refusing after two ends (a stream that went
-//! on elsewhere is at two when a second replica ends by chance); the log of
-//! control (a commit a crash, and none behind a cut).
+//! A quarantined request can't succeed, and it may be a bystander after all: a
+//! request that a team sends all the time is in flight at every crash of a
+//! service that fails for another reason. So a quarantined request is granted
+//! a trial after a while, at one node first. If the trial succeeds, the
+//! quarantine ends; if not, it is extended.
+//!
+//! Alternatives rejected:
+//!
+//! - Sending a suspected request to a replica that runs nothing else: under
+//!   load no replica can be spared.
+//! - Refusing a request after two crashes: a stream that was resumed elsewhere
+//!   has two when a second replica crashes by chance.
+//! - The log of the control plane: it costs a commit for each crash, and
+//!   nothing can be committed behind a network partition.
 
 mod outage;
 mod record;
@@ -39,80 +51,85 @@
 mod word;
 
 pub use self::word::Word;
-use self::{record::Record, sound::Sound};
+use self::{record::Record, sound::Successes};
 use crate::util::{common, position};
 
-/// Replicas that a request may end before it is kept away. A bystander may be at
-/// two ends by chance, hardly ever at three.
+/// Number of crashes after which a request is quarantined. A bystander may be
+/// in flight at two crashes by chance, but hardly ever at three.
 pub const CRASHES: usize = 3;
-/// How long a request is kept away after its third crash, in ms; each further
-/// one doubles it. Three trials take fourteen minutes then, and cost no more
-/// replicas than it took to find the request out.
-const KEPT_MS: i64 = 120_000;
-/// The longest that it is kept away before it is tried again, in ms.
-const LONGEST_KEPT_MS: i64 = 3_600_000;
-/// Between two trials of one request, in ms, at one node or at the next one:
-/// longer than one takes to show how it ends, and all to be told.
-const TRIAL_MS: i64 = 5000;
-/// Crashes are remembered for so long after a request's last one, in ms:
-/// beyond the longest time that it is kept away, so that one more crash is
-/// enough after that.
-const REMEMBER_MS: i64 = 2 * LONGEST_KEPT_MS;
-/// A success is remembered for so long, in ms: longer than word of a crash
-/// before it may go round.
-const REMEMBER_SUCCESS_MS: i64 = 60_000;
-/// How long an end is suspected, in ms: until it is certain or withdrawn.
-const SUSPECTED_MS: i64 = 3500;
-/// Requests remembered, in some 400 kB: those at sixty ends with thirty under
-/// way at each.
-const MOST: usize = 2048;
-/// Crashes remembered of one request: what the longest time takes.
-const MOST_CRASHES: usize = 8;
+/// Duration of a quarantine after the third crash, in ms; each further crash
+/// doubles it. Three trials then take fourteen minutes, and cost no more
+/// replicas than it took to identify the request.
+const QUARANTINE_MS: i64 = 120_000;
+/// Maximum duration of a quarantine before the next trial, in ms.
+const MAX_QUARANTINE_MS: i64 = 3_600_000;
+/// Interval between two trials of one request, in ms, at the same node or at
+/// the next one: longer than a trial takes to show its outcome and all nodes
+/// take to learn of it.
+const TRIAL_INTERVAL_MS: i64 = 5000;
+/// Time for which crashes are kept after the last crash of a request, in ms:
+/// longer than the longest quarantine, so that one more crash is enough after
+/// it.
+const CRASH_RETENTION_MS: i64 = 2 * MAX_QUARANTINE_MS;
+/// Time for which a success is kept, in ms: longer than reports of an earlier
+/// crash may circulate.
+const SUCCESS_RETENTION_MS: i64 = 60_000;
+/// Time after which a suspected crash no longer counts, in ms: by then it is
+/// either confirmed or withdrawn.
+const SUSPICION_TIMEOUT_MS: i64 = 3500;
+/// Maximum number of recorded requests, in some 400 kB: those of sixty crashes
+/// with thirty requests in flight at each.
+const MAX_RECORDS: usize = 2048;
+/// Maximum number of crashes recorded of one request: as many as it takes to
+/// reach the longest quarantine.
+const MAX_RECORD_CRASHES: usize = 8;
 
 common! {
     copy
-    /// A replica ended while a request was under way there.
+    /// A replica crashed while a request was in flight there.
     pub struct Crash {
-        /// What the request asks for.
+        /// Fingerprint of what the request asks for.
         pub fingerprint: u64,
-        /// The replica's life.
+        /// Hash that identifies one incarnation of the replica.
         pub replica: u64,
-        /// When, by this node's clock, in ms; less than none before its start.
+        /// Time of the crash, in ms by this node's clock; negative before the
+        /// node's start.
         pub at: i64,
     }
 }
 
 common! {
     copy
-    /// A request ended well.
+    /// A request succeeded.
     pub struct Success {
-        /// What it asks for.
+        /// Fingerprint of what the request asks for.
         pub fingerprint: u64,
-        /// When, as for a crash.
+        /// Time of the success, in the same unit as for a crash.
         pub at: i64,
     }
 }
 
 common! {
     copy
-    /// Why a request is kept away.
+    /// Why a request is quarantined.
     pub struct Reason {
-        /// Replicas that ended under it.
+        /// Number of replicas that crashed while the request was in flight
+        /// there.
         pub crashes: usize,
-        /// Since the last of them, in ms.
+        /// Time since the last crash, in ms.
         pub age_ms: u64,
-        /// Until it may be tried again, in ms; 0 from then on.
+        /// Time until the request may be sent again, in ms; 0 from then on.
         pub wait_ms: u64,
-        /// Whether all of the ends are certain.
+        /// Whether all of the crashes are confirmed.
         pub is_certain: bool,
     }
 }
 
 impl Reason {
-    /// When it is worth to come back, in ms.
+    /// Returns the time after which a retry is worthwhile, in ms.
     pub fn retry_after_ms(&self) -> u64 {
         match self.is_certain {
-            true => self.wait_ms.max(TRIAL_MS as u64),
+            true => self.wait_ms.max(TRIAL_INTERVAL_MS as u64),
             false => self.wait_ms,
         }
     }
@@ -120,102 +137,108 @@
 
 common! {
     copy
-    /// Who told of something.
+    /// Where a report comes from.
     pub enum Source {
-        /// This node saw it, or is the only one that was told.
+        /// This node made the observation, or is the only one that received
+        /// the report, so it has to forward it.
         Own,
-        /// A node that tells all others itself.
+        /// Another node, which reports to all other nodes itself.
         Other,
     }
 }
 
-/// What is known of requests at replicas that ended.
+/// Records of requests that were in flight at replicas that crashed.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     /// Sorted by fingerprint.
     records: Vec<Record>,
-    /// Requests that have ended well lately.
-    sound: Sound,
-    /// Crashes to be told, with the time when they became known here.
-    crashes: Vec<(i64, Crash)>,
-    /// The same of suspected ones.
-    suspected: Vec<(i64, Crash)>,
-    /// The same of successes.
-    successes: Vec<(i64, Success)>,
+    /// Requests that succeeded recently.
+    recent_successes: Successes,
+    /// Crashes to report, with the time at which this node learned of them.
+    crash_reports: Vec<(i64, Crash)>,
+    /// Suspected crashes to report, likewise.
+    suspicion_reports: Vec<(i64, Crash)>,
+    /// Successes to report, likewise.
+    success_reports: Vec<(i64, Success)>,
 }
 
 impl Quarantine {
-    /// Notes a crash; tells how many there are of its request now, or nothing
-    /// if it is not news.
+    /// Records a crash. Returns the number of confirmed crashes of its
+    /// request, or `None` if the crash is not new.
     pub fn crash(
         &mut self,
         now: i64,
         crash: Crash,
         source: Source,
     ) -> Option<usize> {
-        if self.is_refuted(now, crash) {
+        if self.is_cleared_by_success(now, crash) {
             return None;
         }
-        let at = self.record(crash.fingerprint);
+        let at = self.find_or_insert(crash.fingerprint);
         let record = &mut self.records[at];
-        record.suspected.retain(|one| one.replica != crash.replica);
-        if let Some(known) = record.of(crash.replica) {
-            // The earliest that anybody tells is the moment of the end.
+        record.suspected.retain(|other| other.replica != crash.replica);
+        if let Some(known) = record.crash_of(crash.replica) {
+            // The earliest reported time is the time of the crash.
             known.at = known.at.min(crash.at);
-            record.crashes.sort_by_key(|one| one.at);
+            record.crashes.sort_by_key(|other| other.at);
             return None;
         }
-        let after = record.crashes.partition_point(|one| one.at <= crash.at);
-        record.crashes.insert(after, crash);
-        if record.crashes.len() > MOST_CRASHES {
+        let index =
+            record.crashes.partition_point(|other| other.at <= crash.at);
+        record.crashes.insert(index, crash);
+        if record.crashes.len() > MAX_RECORD_CRASHES {
             record.crashes.remove(0);
         }
         let count = record.crashes.len();
         if source == Source::Own {
-            self.crashes.push((now, crash));
+            self.crash_reports.push((now, crash));
         }
-        self.bound(crash.fingerprint);
+        self.evict_excess(crash.fingerprint);
         Some(count)
     }
 
-    /// Notes an end that is not certain; tells how many there are of its
-    /// request with it, or nothing if it is not news.
+    /// Records a suspected crash. Returns the number of confirmed and
+    /// suspected crashes of its request, or `None` if the crash is not new.
     pub fn suspect(
         &mut self,
         now: i64,
         crash: Crash,
         source: Source,
     ) -> Option<usize> {
-        if now >= crash.at + SUSPECTED_MS || self.is_refuted(now, crash) {
+        if now >= crash.at + SUSPICION_TIMEOUT_MS
+            || self.is_cleared_by_success(now, crash)
+        {
             return None;
         }
-        let at = self.record(crash.fingerprint);
+        let at = self.find_or_insert(crash.fingerprint);
         let record = &mut self.records[at];
         let mut suspected = record.suspected.iter();
-        let is_known = suspected.any(|one| one.replica == crash.replica);
-        if is_known || record.of(crash.replica).is_some() {
+        let is_known = suspected.any(|other| other.replica == crash.replica);
+        if is_known || record.crash_of(crash.replica).is_some() {
             return None;
         }
-        record.suspected.retain(|one| now < one.at + SUSPECTED_MS);
-        if record.suspected.len() < MOST_CRASHES {
+        record.suspected.retain(|other| now < other.at + SUSPICION_TIMEOUT_MS);
+        if record.suspected.len() < MAX_RECORD_CRASHES {
             record.suspected.push(crash);
         }
         let count = record.crashes.len() + record.suspected.len();
         if source == Source::Own {
-            self.suspected.push((now, crash));
+            self.suspicion_reports.push((now, crash));
         }
-        self.bound(crash.fingerprint);
+        self.evict_excess(crash.fingerprint);
         Some(count)
     }
 
-    /// True where an end of a replica under a request is suspected.
+    /// Returns whether a replica is suspected to have crashed while this
+    /// request was in flight there.
     pub fn is_suspected(&self, fingerprint: u64) -> bool {
         let found = self.find(&fingerprint);
         found.is_ok_and(|at| !self.records[at].suspected.is_empty())
     }
 
-    /// Withdraws what was suspected of replicas that were heard after it, as
-    /// `is_heard` tells by the replica and the moment of its supposed end.
+    /// Withdraws the suspected crashes of replicas that were heard afterwards.
+    /// `is_heard` decides this from the replica and the time of its suspected
+    /// crash.
     pub fn withdraw(
         &mut self,
         fingerprint: u64,
@@ -223,56 +246,57 @@
     ) {
         let Ok(at) = self.find(&fingerprint) else { return };
         let record = &mut self.records[at];
-        record.suspected.retain(|one| !is_heard(one.replica, one.at));
+        record.suspected.retain(|crash| !is_heard(crash.replica, crash.at));
     }
 
-    /// Whether a request has ended well since, so that a crash says nothing of
-    /// it. Whoever told of the crash is told so.
-    fn is_refuted(&mut self, now: i64, crash: Crash) -> bool {
+    /// Returns whether the request succeeded after the crash, in which case
+    /// the crash does not count against it. Schedules a report of the success,
+    /// so that the node that reported the crash learns of it.
+    fn is_cleared_by_success(&mut self, now: i64, crash: Crash) -> bool {
         let fingerprint = crash.fingerprint;
-        let known = self.find(&fingerprint).ok();
-        let known = known.and_then(|at| self.records[at].succeeded_at);
-        let last = known.max(self.sound.last(fingerprint));
+        let found = self.find(&fingerprint).ok();
+        let recorded = found.and_then(|at| self.records[at].succeeded_at);
+        let last = recorded.max(self.recent_successes.last_at(fingerprint));
         let Some(at) = last.filter(|at| crash.at <= *at) else {
             return false;
         };
-        self.tell_success(now, Success { fingerprint, at });
+        self.report_success(now, Success { fingerprint, at });
         true
     }
 
-    /// Notes that a request has ended well; tells how many crashes that
-    /// clears, if any.
+    /// Records a success. Returns the number of crashes that it clears, if
+    /// any.
     pub fn succeed(
         &mut self,
         now: i64,
         success: Success,
         source: Source,
     ) -> Option<usize> {
-        self.sound.note(success);
-        // Nearly all requests have never been at a replica that ended.
+        self.recent_successes.insert(success);
+        // Nearly all requests have never been in flight at a crash.
         let at = self.find(&success.fingerprint).ok()?;
         let record = &mut self.records[at];
-        let before = record.ends().count();
-        record.suspected.retain(|one| one.at > success.at);
-        record.crashes.retain(|one| one.at > success.at);
-        let cleared = before - record.ends().count();
+        let before = record.all_crashes().count();
+        record.suspected.retain(|crash| crash.at > success.at);
+        record.crashes.retain(|crash| crash.at > success.at);
+        let cleared = before - record.all_crashes().count();
         if cleared == 0 {
             return None;
         }
         record.succeeded_at = record.succeeded_at.max(Some(success.at));
-        let is_before = |one: &Crash| {
-            one.fingerprint == success.fingerprint && one.at <= success.at
+        let is_earlier = |crash: &Crash| {
+            crash.fingerprint == success.fingerprint && crash.at <= success.at
         };
-        self.crashes.retain(|(_, one)| !is_before(one));
-        self.suspected.retain(|(_, one)| !is_before(one));
+        self.crash_reports.retain(|(_, crash)| !is_earlier(crash));
+        self.suspicion_reports.retain(|(_, crash)| !is_earlier(crash));
         if source == Source::Own {
-            self.tell_success(now, success);
+            self.report_success(now, success);
         }
         Some(cleared)
     }
 
-    /// Why a request is kept from replicas, if it is; `replicas` tells how many
-    /// its service has.
+    /// Returns why a request is quarantined, if it is. `replicas` returns the
+    /// number of replicas of its service.
     pub fn keeps(
         &self,
         now: i64,
@@ -282,20 +306,24 @@
         let at = self.find(&fingerprint).ok()?;
         let record = &self.records[at];
         let suspected = record.suspected.iter();
-        let suspected: Vec<&Crash> =
-            suspected.filter(|one| now < one.at + SUSPECTED_MS).collect();
+        let suspected: Vec<&Crash> = suspected
+            .filter(|crash| now < crash.at + SUSPICION_TIMEOUT_MS)
+            .collect();
         if record.crashes.len() + suspected.len() < CRASHES {
             return None;
         }
-        let many = Quarantine::least_of_outage(replicas());
-        let counts = |one: &Crash| self.counts(record, one, many);
-        let certain = record.crashes.iter().filter(|one| counts(one)).count();
+        let outage_size = Quarantine::min_outage_replicas(replicas());
+        let counts =
+            |crash: &Crash| self.counts_against(record, crash, outage_size);
+        let confirmed =
+            record.crashes.iter().filter(|crash| counts(crash)).count();
         let age_ms = |at: i64| (now - at).max(0) as u64;
-        if certain >= CRASHES {
+        if confirmed >= CRASHES {
             let last = record.crashes.last()?;
-            let wait_ms = (last.at + kept_ms(certain) - now).max(0) as u64;
+            let wait_ms =
+                (last.at + quarantine_ms(confirmed) - now).max(0) as u64;
             return Some(Reason {
-                crashes: certain,
+                crashes: confirmed,
                 age_ms: age_ms(last.at),
                 wait_ms,
                 is_certain: true,
@@ -303,26 +331,28 @@
         }
         let mut suspected: Vec<i64> = suspected
             .into_iter()
-            .filter(|one| counts(one))
-            .map(|one| one.at)
+            .filter(|crash| counts(crash))
+            .map(|crash| crash.at)
             .collect();
         suspected.sort_unstable();
-        // It is free once so many of them are past that too few are left.
-        let spare = (certain + suspected.len()).checked_sub(CRASHES)?;
-        let until = suspected[spare] + SUSPECTED_MS;
+        // The request is released once enough suspicions have timed out to
+        // leave fewer crashes than the threshold.
+        let excess = (confirmed + suspected.len()).checked_sub(CRASHES)?;
+        let until = suspected[excess] + SUSPICION_TIMEOUT_MS;
         Some(Reason {
-            crashes: certain + suspected.len(),
+            crashes: confirmed + suspected.len(),
             age_ms: age_ms(*suspected.last()?),
             wait_ms: (until - now).max(0) as u64,
             is_certain: false,
         })
     }
 
-    /// Whether this node tries a request again that it keeps away for `reason`.
+    /// Returns whether this node grants a trial to a request that is
+    /// quarantined for `reason`, and records the trial.
     ///
-    /// `rank` tells how many nodes go before it: each waits for the one before,
-    /// so that a request that is as bad as ever ends one replica, not one for
-    /// each node.
+    /// `rank` is the number of nodes that come before this one. Each node
+    /// waits for the one before it, so that a request that still crashes
+    /// replicas crashes one replica in total, not one for each node.
     pub fn try_again(
         &mut self,
         now: i64,
@@ -336,85 +366,92 @@
         let Ok(at) = self.find(&fingerprint) else { return false };
         let record = &mut self.records[at];
         let Some(last) = record.crashes.last() else { return false };
-        let due = last.at + kept_ms(reason.crashes) + TRIAL_MS * rank as i64;
-        let rests = record.tried_at.is_some_and(|at| now < at + TRIAL_MS);
-        let tries = now >= due && !rests;
-        if tries {
-            record.tried_at = Some(now);
+        let due = last.at
+            + quarantine_ms(reason.crashes)
+            + TRIAL_INTERVAL_MS * rank as i64;
+        let is_resting =
+            record.trial_at.is_some_and(|at| now < at + TRIAL_INTERVAL_MS);
+        let is_trial = now >= due && !is_resting;
+        if is_trial {
+            record.trial_at = Some(now);
         }
-        tries
+        is_trial
     }
 
-    /// Drops what is past its time.
+    /// Removes records whose retention time has passed.
     pub fn expire(&mut self, now: i64) {
-        self.sound.expire(now);
+        self.recent_successes.expire(now);
         self.records.retain(|record| {
-            let crash = record.crashes.last();
+            let last = record.crashes.last();
             let mut suspected = record.suspected.iter();
-            crash.is_some_and(|one| now < one.at + REMEMBER_MS)
-                || suspected.any(|one| now < one.at + SUSPECTED_MS)
+            last.is_some_and(|crash| now < crash.at + CRASH_RETENTION_MS)
+                || suspected.any(|crash| now < crash.at + SUSPICION_TIMEOUT_MS)
                 || record
                     .succeeded_at
-                    .is_some_and(|at| now < at + REMEMBER_SUCCESS_MS)
+                    .is_some_and(|at| now < at + SUCCESS_RETENTION_MS)
         });
     }
 
-    /// Requests that are remembered to have ended well.
+    /// Returns the number of remembered successes.
     pub fn remembered(&self) -> usize {
-        self.sound.count()
+        self.recent_successes.count()
     }
 
-    /// Requests that something is known of.
+    /// Returns the number of recorded requests.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// True while nothing is known of any request.
+    /// Returns whether no request is recorded.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
     fn find(&self, fingerprint: &u64) -> Result<usize, usize> {
-        position(&self.records, fingerprint, |one| &one.fingerprint)
+        position(&self.records, fingerprint, |record| &record.fingerprint)
     }
 
-    fn record(&mut self, fingerprint: u64) -> usize {
+    fn find_or_insert(&mut self, fingerprint: u64) -> usize {
         self.find(&fingerprint).unwrap_or_else(|at| {
             let record = Record {
                 fingerprint,
                 crashes: Vec::new(),
                 suspected: Vec::new(),
                 succeeded_at: None,
-                told_at: None,
-                tried_at: None,
+                repeated_at: None,
+                trial_at: None,
             };
             self.records.insert(at, record);
             at
         })
     }
 
-    /// Forgets the request with the fewest crashes, the oldest of these, where
-    /// there are too many; never the one that was just noted.
-    fn bound(&mut self, newest: u64) {
-        if self.records.len() <= MOST {
+    /// Removes the request with the fewest crashes if there are too many
+    /// records; of several, the one whose last crash is the oldest. Never
+    /// removes the request that was just recorded.
+    fn evict_excess(&mut self, newest: u64) {
+        if self.records.len() <= MAX_RECORDS {
             return;
         }
-        let least = self
+        let evicted = self
             .records
             .iter()
             .enumerate()
-            .filter(|(_, one)| one.fingerprint != newest)
-            .min_by_key(|(_, one)| {
-                (one.crashes.len(), one.crashes.last().map(|last| last.at))
+            .filter(|(_, record)| record.fingerprint != newest)
+            .min_by_key(|(_, record)| {
+                (
+                    record.crashes.len(),
+                    record.crashes.last().map(|last| last.at),
+                )
             });
-        if let Some((at, _)) = least {
+        if let Some((at, _)) = evicted {
             self.records.remove(at);
         }
     }
 }
 
-/// How long a request with so many crashes is kept away, in ms.
-fn kept_ms(crashes: usize) -> i64 {
-    let more = crashes.saturating_sub(CRASHES);
-    (KEPT_MS << more).min(LONGEST_KEPT_MS)
+/// Returns how long a request with this many crashes is quarantined, in ms.
+fn quarantine_ms(crashes: usize) -> i64 {
+    let excess = crashes.saturating_sub(CRASHES);
+    (QUARANTINE_MS << excess).min(MAX_QUARANTINE_MS)
 }
--- a/src/decide/quarantine/outage.rs
+++ b/src/decide/quarantine/outage.rs
@@ -1,93 +1,112 @@
-//! Which ends of replicas a request is held responsible for.
+//! Decides which crashes count against a request.
 //!
-//! Not for those at which it can't have been, and not for those of an outage:
-//! many replicas that end together, without another request that ends replicas
-//! one after the other.
+//! A crash does not count if the request can't have been in flight when the
+//! replica crashed. A crash in an outage does not count either: many replicas
+//! crash together, and no other request that crashes replicas one after the
+//! other explains it.
 
 use super::{CRASHES, Crash, Quarantine, record::Record};
 
-/// Replicas that end within this time of each other end together, in ms: nodes
-/// notice it one after the other.
-const TOGETHER_MS: u64 = 100;
-/// The same of replicas that all had the request, in ms: less than it takes to
-/// go on from one that it has ended to the next one.
-pub(super) const AT_ONCE_MS: u64 = 20;
-/// Nodes notice the end of a replica within this time of each other, in ms.
-const NOTICE_LAG_MS: i64 = 300;
-/// So many other replicas, and this part of its service's, have to end together
-/// for another cause than the request.
-const LEAST_TOGETHER: usize = 3;
-/// See [`LEAST_TOGETHER`].
-const PART_TOGETHER: f32 = 0.25;
+/// Replicas that crash within this time of each other crash together, in ms:
+/// nodes notice such crashes one after the other.
+const OUTAGE_WINDOW_MS: u64 = 100;
+/// Replicas at which the same request was in flight crash together if they
+/// crash within this shorter time of each other, in ms: less than the request
+/// takes to move on from a replica that it crashed to the next one.
+pub(super) const SAME_REQUEST_WINDOW_MS: u64 = 20;
+/// Time within which all nodes notice the crash of a replica, in ms.
+const DETECTION_SPREAD_MS: i64 = 300;
+/// Minimum number of other replicas that have to crash together before a cause
+/// other than the request is assumed. [`MIN_OUTAGE_FRACTION`] must be met as
+/// well.
+const MIN_OUTAGE_REPLICAS: usize = 3;
+/// Minimum fraction of the replicas of the service that have to crash
+/// together, in addition to [`MIN_OUTAGE_REPLICAS`].
+const MIN_OUTAGE_FRACTION: f32 = 0.25;
 
 impl Quarantine {
-    /// How many replicas of a service have to end together for an outage.
-    pub(super) fn least_of_outage(replicas: usize) -> usize {
-        let part = (replicas as f32 * PART_TOGETHER) as usize;
-        part.max(LEAST_TOGETHER)
+    /// Returns how many other replicas have to crash together for an outage,
+    /// for a service with this many replicas.
+    pub(super) fn min_outage_replicas(replicas: usize) -> usize {
+        let fraction = (replicas as f32 * MIN_OUTAGE_FRACTION) as usize;
+        fraction.max(MIN_OUTAGE_REPLICAS)
     }
 
-    /// Whether an end counts against a request, as it was there and `many`
-    /// replicas make an outage.
-    pub(super) fn counts(
+    /// Returns whether a crash counts against the request of `record`: the
+    /// request was in flight at the crash, which is not part of an outage of
+    /// `outage_size` replicas.
+    pub(super) fn counts_against(
         &self,
-        own: &Record,
+        record: &Record,
         crash: &Crash,
-        many: usize,
+        outage_size: usize,
     ) -> bool {
-        self.was_there(crash) && !self.is_outage(own, crash, many)
+        self.was_in_flight(crash)
+            && !self.is_outage(record, crash, outage_size)
     }
 
-    /// Whether a request can have been at a replica when that ended.
-    fn was_there(&self, crash: &Crash) -> bool {
-        let ends = self.ends().filter(|one| one.replica == crash.replica);
-        let moment = ends.map(|one| one.at).min();
-        moment.is_none_or(|moment| crash.at <= moment + NOTICE_LAG_MS)
+    /// Returns whether the request can have been in flight when the replica
+    /// crashed.
+    fn was_in_flight(&self, crash: &Crash) -> bool {
+        let same_replica =
+            self.all_crashes().filter(|other| other.replica == crash.replica);
+        let crashed_at = same_replica.map(|other| other.at).min();
+        crashed_at.is_none_or(|crashed_at| {
+            crash.at <= crashed_at + DETECTION_SPREAD_MS
+        })
     }
 
-    /// Whether `many` other replicas ended at the same time, so that the cause
-    /// lies elsewhere: a data centre that lost its power takes a request to
-    /// three ends that it has nothing to do with.
-    fn is_outage(&self, own: &Record, crash: &Crash, many: usize) -> bool {
-        let is_own =
-            |replica| own.ends().any(|one: &Crash| one.replica == replica);
+    /// Returns whether at least `outage_size` other replicas crashed at the
+    /// same time, so that the cause lies elsewhere. For example, a power
+    /// failure in a data centre brings a request to three crashes that it did
+    /// not cause.
+    fn is_outage(
+        &self,
+        record: &Record,
+        crash: &Crash,
+        outage_size: usize,
+    ) -> bool {
+        let is_of_request = |replica| {
+            record.all_crashes().any(|other: &Crash| other.replica == replica)
+        };
         let mut others: Vec<u64> = self
-            .ends()
-            .filter(|one| one.replica != crash.replica)
-            .filter(|one| {
-                let limit = match is_own(one.replica) {
-                    true => AT_ONCE_MS,
-                    false => TOGETHER_MS,
+            .all_crashes()
+            .filter(|other| other.replica != crash.replica)
+            .filter(|other| {
+                let window_ms = match is_of_request(other.replica) {
+                    true => SAME_REQUEST_WINDOW_MS,
+                    false => OUTAGE_WINDOW_MS,
                 };
-                one.at.abs_diff(crash.at) <= limit
+                other.at.abs_diff(crash.at) <= window_ms
             })
-            .map(|one| one.replica)
+            .map(|other| other.replica)
             .collect();
         others.sort_unstable();
         others.dedup();
-        if others.len() < many {
+        if others.len() < outage_size {
             return false;
         }
-        // Several such requests at a time would hide each other.
-        let explained = self.explained_besides(own.fingerprint);
-        others.retain(|one| explained.binary_search(one).is_err());
-        others.len() >= many
+        // Several requests that crash replicas at the same time would
+        // otherwise hide each other.
+        let explained = self.crashed_by_others(record.fingerprint);
+        others.retain(|replica| explained.binary_search(replica).is_err());
+        others.len() >= outage_size
     }
 
-    /// Replicas that other requests have ended, sorted: those that were at ends
-    /// at several different moments.
-    fn explained_besides(&self, fingerprint: u64) -> Vec<u64> {
-        let others = self.records.iter();
-        let mut explained: Vec<u64> = others
-            .filter(|one| one.fingerprint != fingerprint)
-            .filter(|one| one.moments() >= CRASHES)
-            .flat_map(|one| one.ends().map(|end| end.replica))
+    /// Returns the replicas, sorted, that requests other than this one have
+    /// crashed: those of requests with crashes at several different times.
+    fn crashed_by_others(&self, fingerprint: u64) -> Vec<u64> {
+        let records = self.records.iter();
+        let mut replicas: Vec<u64> = records
+            .filter(|record| record.fingerprint != fingerprint)
+            .filter(|record| record.count_crash_times() >= CRASHES)
+            .flat_map(|record| record.all_crashes().map(|crash| crash.replica))
             .collect();
-        explained.sort_unstable();
-        explained
+        replicas.sort_unstable();
+        replicas
     }
 
-    fn ends(&self) -> impl Iterator<Item = &Crash> {
-        self.records.iter().flat_map(Record::ends)
+    fn all_crashes(&self) -> impl Iterator<Item = &Crash> {
+        self.records.iter().flat_map(Record::all_crashes)
     }
 }
--- a/src/decide/quarantine/record.rs
+++ b/src/decide/quarantine/record.rs
@@ -1,40 +1,44 @@
-//! What is known of one request.
+//! The record of one request.
 
-use super::{Crash, outage::AT_ONCE_MS};
+use super::{Crash, outage::SAME_REQUEST_WINDOW_MS};
 use crate::util::common;
 
 common! {
     pub(super) struct Record {
         pub(super) fingerprint: u64,
-        /// Sorted by time.
+        /// Confirmed crashes, sorted by time.
         pub(super) crashes: Vec<Crash>,
-        /// Ends that are not certain.
+        /// Suspected crashes.
         pub(super) suspected: Vec<Crash>,
-        /// The last success; what was noted before it is gone.
+        /// Time of the last success. Crashes before it have been removed.
         pub(super) succeeded_at: Option<i64>,
-        /// When it was last told again.
-        pub(super) told_at: Option<i64>,
-        /// When this node last tried it again.
-        pub(super) tried_at: Option<i64>,
+        /// Time at which the crashes were last repeated to other nodes.
+        pub(super) repeated_at: Option<i64>,
+        /// Time at which this node last granted the request a trial.
+        pub(super) trial_at: Option<i64>,
     }
 }
 
 impl Record {
-    /// The crash at a replica, if there is one.
-    pub(super) fn of(&mut self, replica: u64) -> Option<&mut Crash> {
-        self.crashes.iter_mut().find(|one| one.replica == replica)
+    /// Returns the confirmed crash of a replica, if there is one.
+    pub(super) fn crash_of(&mut self, replica: u64) -> Option<&mut Crash> {
+        self.crashes.iter_mut().find(|crash| crash.replica == replica)
     }
 
-    /// At how many different moments replicas ended under it.
-    pub(super) fn moments(&self) -> usize {
-        let mut at: Vec<i64> = self.ends().map(|one| one.at).collect();
-        at.sort_unstable();
-        at.dedup_by(|one, before| one.abs_diff(*before) <= AT_ONCE_MS);
-        at.len()
+    /// Returns the number of different times at which replicas crashed under
+    /// the request.
+    pub(super) fn count_crash_times(&self) -> usize {
+        let mut times: Vec<i64> =
+            self.all_crashes().map(|crash| crash.at).collect();
+        times.sort_unstable();
+        times.dedup_by(|time, before| {
+            time.abs_diff(*before) <= SAME_REQUEST_WINDOW_MS
+        });
+        times.len()
     }
 
-    /// The certain ones and those that are not.
-    pub(super) fn ends(&self) -> impl Iterator<Item = &Crash> {
+    /// Returns the confirmed and the suspected crashes.
+    pub(super) fn all_crashes(&self) -> impl Iterator<Item = &Crash> {
         self.crashes.iter().chain(&self.suspected)
     }
 }
--- a/src/decide/quarantine/word.rs
+++ b/src/decide/quarantine/word.rs
@@ -1,85 +1,97 @@
-//! What nodes tell each other of requests at replicas that ended, and what is
-//! kept on disks.
+//! Reports on requests in flight at crashed replicas: what nodes send to each
+//! other and store on disk.
 
 use std::cmp::Reverse;
 
 use super::{Crash, Quarantine, Success, record::Record};
 use crate::util::common;
 
-/// For so long news are told, in ms: in four rounds of the mesh, as a datagram
-/// may be lost.
-const TELL_MS: i64 = 1300;
-/// News told at a time, the newest: what is under way at one replica.
-const TOLD: usize = 64;
-/// Between two times that a request with several crashes is told, in ms, for
-/// nodes that missed it behind a cut or have just started.
-const AGAIN_MS: i64 = 2000;
-/// Such requests told at a time.
-const TOLD_AGAIN: usize = 4;
-/// Crashes from which on a request is told again, and kept on disks.
-const TOLD_FROM: usize = 2;
-/// Such requests told to a node that starts, and kept on disks.
-const MOST_TOLD: usize = 64;
+/// Time for which a new report is sent, in ms: four rounds of the mesh, as a
+/// datagram may be lost.
+const NEW_REPORT_MS: i64 = 1300;
+/// Maximum number of new reports of each kind sent at a time, the newest ones:
+/// as many as requests are in flight at one replica.
+const MAX_NEW_REPORTS: usize = 64;
+/// Interval at which a request with several crashes is reported again, in ms,
+/// for nodes that missed it behind a network partition or have just started.
+const REPEAT_INTERVAL_MS: i64 = 2000;
+/// Maximum number of requests reported again at a time.
+const MAX_REPEATED_REQUESTS: usize = 4;
+/// Number of crashes from which a request is reported again, and stored on
+/// disk.
+const MIN_REPEATED_CRASHES: usize = 2;
+/// Maximum number of such requests that are reported to a node that starts,
+/// and stored on disk.
+const MAX_STORED_REQUESTS: usize = 64;
 
 common! {
-    /// What is told to other nodes.
+    /// Reports for other nodes.
     #[derive(Default)]
     pub struct Word {
-        /// Crashes.
+        /// Confirmed crashes.
         pub crashes: Vec<Crash>,
-        /// Those that are not certain.
+        /// Suspected crashes.
         pub suspected: Vec<Crash>,
-        /// Successes that came after crashes.
+        /// Successes after crashes.
         pub successes: Vec<Success>,
     }
 }
 
 impl Quarantine {
-    /// What goes into the next datagrams: news, and now and then what is known
-    /// of requests with several crashes.
+    /// Returns the reports for the next datagrams: new ones, and at intervals
+    /// the crashes of requests with several crashes.
     pub fn tell(&mut self, now: i64) -> Word {
-        self.crashes.retain(|(at, _)| now < at + TELL_MS);
-        self.successes.retain(|(at, _)| now < at + TELL_MS);
-        self.suspected.retain(|(at, _)| now < at + TELL_MS);
-        let newest = self.suspected.iter().rev().take(TOLD);
-        let suspected = newest.map(|(_, one)| *one).collect();
-        let newest = self.crashes.iter().rev().take(TOLD);
-        let mut crashes: Vec<Crash> = newest.map(|(_, one)| *one).collect();
+        self.crash_reports.retain(|(at, _)| now < at + NEW_REPORT_MS);
+        self.success_reports.retain(|(at, _)| now < at + NEW_REPORT_MS);
+        self.suspicion_reports.retain(|(at, _)| now < at + NEW_REPORT_MS);
+        let newest = self.suspicion_reports.iter().rev().take(MAX_NEW_REPORTS);
+        let suspected = newest.map(|(_, crash)| *crash).collect();
+        let newest = self.crash_reports.iter().rev().take(MAX_NEW_REPORTS);
+        let mut crashes: Vec<Crash> =
+            newest.map(|(_, crash)| *crash).collect();
         let mut due: Vec<&mut Record> = self
             .records
             .iter_mut()
-            .filter(|one| one.crashes.len() >= TOLD_FROM)
-            .filter(|one| one.told_at.is_none_or(|at| now >= at + AGAIN_MS))
+            .filter(|record| record.crashes.len() >= MIN_REPEATED_CRASHES)
+            .filter(|record| {
+                record
+                    .repeated_at
+                    .is_none_or(|at| now >= at + REPEAT_INTERVAL_MS)
+            })
             .collect();
-        // In turn, however many there are.
-        due.sort_by_key(|one| one.told_at);
-        for record in due.into_iter().take(TOLD_AGAIN) {
-            record.told_at = Some(now);
+        // Requests take turns, the least recently reported first, however many
+        // there are.
+        due.sort_by_key(|record| record.repeated_at);
+        for record in due.into_iter().take(MAX_REPEATED_REQUESTS) {
+            record.repeated_at = Some(now);
             crashes.extend(&record.crashes);
         }
-        let newest = self.successes.iter().rev().take(TOLD);
-        let successes = newest.map(|(_, one)| *one).collect();
+        let newest = self.success_reports.iter().rev().take(MAX_NEW_REPORTS);
+        let successes = newest.map(|(_, success)| *success).collect();
         Word { crashes, suspected, successes }
     }
 
-    /// What a node that starts has to know, and what is kept on disks.
+    /// Returns what a node that starts needs to know, and what is stored on
+    /// disk.
     pub fn several(&self) -> Word {
-        let known = self.records.iter();
-        let mut several: Vec<&Record> =
-            known.filter(|one| one.crashes.len() >= TOLD_FROM).collect();
-        several.sort_by_key(|one| Reverse(one.crashes.len()));
+        let records = self.records.iter();
+        let mut several: Vec<&Record> = records
+            .filter(|record| record.crashes.len() >= MIN_REPEATED_CRASHES)
+            .collect();
+        several.sort_by_key(|record| Reverse(record.crashes.len()));
         let crashes = several
             .into_iter()
-            .take(MOST_TOLD)
-            .flat_map(|one| one.crashes.iter().copied())
+            .take(MAX_STORED_REQUESTS)
+            .flat_map(|record| record.crashes.iter().copied())
             .collect();
         Word { crashes, suspected: Vec::new(), successes: Vec::new() }
     }
 
-    pub(super) fn tell_success(&mut self, now: i64, success: Success) {
-        let mut told = self.successes.iter();
-        if !told.any(|(_, one)| one.fingerprint == success.fingerprint) {
-            self.successes.push((now, success));
+    pub(super) fn report_success(&mut self, now: i64, success: Success) {
+        let mut reports = self.success_reports.iter();
+        if !reports.any(|(_, known)| known.fingerprint == success.fingerprint)
+        {
+            self.success_reports.push((now, success));
         }
     }
 }
--- a/tests/all/quarantine.rs
+++ b/tests/all/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are kept from replicas, without any I/O.
+//! Tests which requests are quarantined, without any I/O.
 
 use azuremount::decide::quarantine::{
     Crash, Quarantine, Reason, Source, Success, Word,
@@ -6,441 +6,512 @@
 
 use crate::fixed_seeds;
 
-/// Replicas of the service.
+/// Number of replicas of the service.
 const REPLICAS: usize = 18;
-/// When the tests begin, in ms.
-const START: i64 = 10_000;
-/// More than the longest time that a request is kept away, in ms.
-const LONG: i64 = 3_700_000;
+/// Time at which the tests begin, in ms.
+const START_MS: i64 = 10_000;
+/// Longer than the longest quarantine, in ms.
+const BEYOND_QUARANTINE_MS: i64 = 3_700_000;
 
 fn crash(fingerprint: u64, replica: u64, at: i64) -> Crash {
     Crash { fingerprint, replica, at }
 }
 
-/// A replica ended under these requests.
-fn end(known: &mut Quarantine, replica: u64, at: i64, requests: &[u64]) {
+/// Records the crash of a replica with these requests in flight.
+fn crash_replica(
+    quarantine: &mut Quarantine,
+    replica: u64,
+    at: i64,
+    requests: &[u64],
+) {
     for &fingerprint in requests {
-        known.crash(at, crash(fingerprint, replica, at), Source::Own);
+        quarantine.crash(at, crash(fingerprint, replica, at), Source::Own);
     }
 }
 
-fn keeps(known: &Quarantine, now: i64, fingerprint: u64) -> Option<Reason> {
-    known.keeps(now, fingerprint, || REPLICAS)
+fn quarantine_reason(
+    quarantine: &Quarantine,
+    now: i64,
+    fingerprint: u64,
+) -> Option<Reason> {
+    quarantine.keeps(now, fingerprint, || REPLICAS)
 }
 
-/// Symptom: a request ends one replica after the other. Cause: nobody counts.
-/// Here three ends are enough, and the refusal says until when.
+/// Guards against a request that crashes one replica after the other. Three
+/// crashes quarantine it, and the reason names the wait.
 #[test]
-fn three_ends_keep_a_request_away() {
-    let mut known = Quarantine::default();
+fn three_crashes_quarantine_a_request() {
+    let mut quarantine = Quarantine::default();
     for replica in 0..2 {
-        end(&mut known, replica, START + 700 * replica as i64, &[7]);
-        assert_eq!(keeps(&known, START + 1000, 7), None);
+        crash_replica(
+            &mut quarantine,
+            replica,
+            START_MS + 700 * replica as i64,
+            &[7],
+        );
+        assert_eq!(quarantine_reason(&quarantine, START_MS + 1000, 7), None);
     }
-    end(&mut known, 2, START + 1400, &[7]);
-    let reason = keeps(&known, START + 1500, 7).unwrap();
+    crash_replica(&mut quarantine, 2, START_MS + 1400, &[7]);
+    let reason = quarantine_reason(&quarantine, START_MS + 1500, 7).unwrap();
     assert_eq!((reason.crashes, reason.age_ms), (3, 100));
     assert!(reason.wait_ms > 0);
 }
 
-/// Symptom: what a team asks all the time is refused for an hour after its
-/// service is sound again. Sequence: all replicas end one after the other for
-/// another reason, and this request is at three of the ends. Cause: whoever is
-/// kept away can't succeed. So it is tried again, by one node after the other.
+/// Guards against refusing a frequent request of a team for an hour after its
+/// service has recovered. All replicas crash one after the other for another
+/// reason, and the request is in flight at three of the crashes. A quarantined
+/// request can't succeed, so it is granted trials, by one node after the
+/// other.
 #[test]
-fn a_request_that_is_kept_away_is_tried_again_at_one_node_first() {
+fn a_quarantined_request_is_granted_a_trial_at_one_node_first() {
     let mut nodes = [(); 3].map(|()| Quarantine::default());
-    for known in &mut nodes {
+    for quarantine in &mut nodes {
         for replica in 0..3 {
-            end(known, replica, START, &[7]);
+            crash_replica(quarantine, replica, START_MS, &[7]);
         }
     }
-    let reason = keeps(&nodes[0], START, 7).unwrap();
-    let due = START + reason.wait_ms as i64;
+    let reason = quarantine_reason(&nodes[0], START_MS, 7).unwrap();
+    let due = START_MS + reason.wait_ms as i64;
     assert!(!nodes[0].try_again(due - 1, 7, reason, 0));
-    let reason = keeps(&nodes[0], due, 7).unwrap();
-    let tries = |known: &mut Quarantine, at, rank| {
-        known.try_again(at, 7, reason, rank)
+    let reason = quarantine_reason(&nodes[0], due, 7).unwrap();
+    let grants_trial = |quarantine: &mut Quarantine, at, rank| {
+        quarantine.try_again(at, 7, reason, rank)
     };
-    assert!(tries(&mut nodes[0], due, 0));
-    assert!(!tries(&mut nodes[0], due + 1000, 0), "twice at once");
-    assert!(!tries(&mut nodes[1], due + 1000, 1), "two nodes at once");
-    // The first node has no such request: the next one tries it then.
-    assert!(tries(&mut nodes[1], due + 6000, 1));
-    // It is no better: kept away for longer, everywhere.
-    end(&mut nodes[1], 9, due + 6500, &[7]);
-    let longer = keeps(&nodes[1], due + 6500, 7).unwrap();
-    assert!(longer.wait_ms > (due - START) as u64);
-    // It has ended well: free.
+    assert!(grants_trial(&mut nodes[0], due, 0));
+    assert!(!grants_trial(&mut nodes[0], due + 1000, 0), "two trials at once");
+    assert!(
+        !grants_trial(&mut nodes[1], due + 1000, 1),
+        "trials at two nodes at once"
+    );
+    // The first node receives no such request, so the next one grants the
+    // trial.
+    assert!(grants_trial(&mut nodes[1], due + 6000, 1));
+    // The trial fails: the quarantine becomes longer at every node.
+    crash_replica(&mut nodes[1], 9, due + 6500, &[7]);
+    let longer = quarantine_reason(&nodes[1], due + 6500, 7).unwrap();
+    assert!(longer.wait_ms > (due - START_MS) as u64);
+    // The request succeeds, which ends its quarantine.
     let at = due + 6500;
     let success = Success { fingerprint: 7, at };
     assert_eq!(nodes[2].succeed(at, success, Source::Other), Some(3));
-    assert_eq!(keeps(&nodes[2], at, 7), None);
+    assert_eq!(quarantine_reason(&nodes[2], at, 7), None);
 }
 
-/// Symptom: callers whose streams broke off are refused when they come again.
-/// Sequence: replicas end under one request, each with twenty others.
+/// Guards against quarantining the bystanders of a crash. Replicas crash under
+/// one request, each with twenty other requests in flight.
 #[test]
-fn bystanders_of_one_end_are_not_kept_away() {
-    let mut known = Quarantine::default();
+fn bystanders_of_one_crash_are_not_quarantined() {
+    let mut quarantine = Quarantine::default();
     for replica in 0..30 {
-        let mut there: Vec<u64> =
+        let mut in_flight: Vec<u64> =
             (0..20).map(|at| 1000 + replica * 100 + at).collect();
-        there.push(7);
-        end(&mut known, replica, START + 600 * replica as i64, &there);
+        in_flight.push(7);
+        crash_replica(
+            &mut quarantine,
+            replica,
+            START_MS + 600 * replica as i64,
+            &in_flight,
+        );
     }
-    let now = START + 20_000;
-    assert!(keeps(&known, now, 7).is_some());
+    let now = START_MS + 20_000;
+    assert!(quarantine_reason(&quarantine, now, 7).is_some());
     for replica in 0..30 {
         for at in 0..20 {
-            assert_eq!(keeps(&known, now, 1000 + replica * 100 + at), None);
+            assert_eq!(
+                quarantine_reason(&quarantine, now, 1000 + replica * 100 + at),
+                None
+            );
         }
     }
 }
 
-/// Symptom: after a data centre's replicas lost their power in three waves,
-/// callers are refused for ten minutes. Cause: a request that was sent on from
-/// one wave to the next counts as if it had ended all three.
+/// Guards against refusing the bystanders of an outage for ten minutes. The
+/// replicas of a data centre lose power in three waves. A request that moves
+/// on from one wave to the next must not count as the cause of all three.
 #[test]
-fn bystanders_of_many_ends_at_once_are_not_kept_away() {
-    let mut known = Quarantine::default();
+fn bystanders_of_an_outage_are_not_quarantined() {
+    let mut quarantine = Quarantine::default();
     for wave in 0..3 {
         for replica in 0..6 {
-            let at = START + 1500 * wave + 20 * replica;
+            let at = START_MS + 1500 * wave + 20 * replica;
             let name = (wave * 6 + replica) as u64;
-            let there =
+            let in_flight =
                 [1000 + name, if replica == 0 { 9 } else { 2000 + name }];
-            end(&mut known, name, at, &there);
+            crash_replica(&mut quarantine, name, at, &in_flight);
         }
     }
-    assert_eq!(keeps(&known, START + 5000, 9), None);
+    assert_eq!(quarantine_reason(&quarantine, START_MS + 5000, 9), None);
 }
 
-/// Symptom: a request that ends replicas goes on to do so, as others do the
-/// same at the same time. Two of them, each ending a replica each 0.6 s, are
-/// no wave.
+/// Guards against two requests that crash replicas at the same time and hide
+/// each other. Two requests that each crash a replica every 0.6 s are not an
+/// outage.
 #[test]
-fn two_requests_that_end_replicas_do_not_hide_each_other() {
-    let mut known = Quarantine::default();
+fn two_requests_that_crash_replicas_do_not_hide_each_other() {
+    let mut quarantine = Quarantine::default();
     for step in 0..3 {
-        let at = START + 600 * step;
-        end(&mut known, 2 * step as u64, at, &[7]);
-        end(&mut known, 2 * step as u64 + 1, at + 100, &[8]);
+        let at = START_MS + 600 * step;
+        crash_replica(&mut quarantine, 2 * step as u64, at, &[7]);
+        crash_replica(&mut quarantine, 2 * step as u64 + 1, at + 100, &[8]);
     }
-    assert!(keeps(&known, START + 2000, 7).is_some());
-    assert!(keeps(&known, START + 2000, 8).is_some());
+    assert!(quarantine_reason(&quarantine, START_MS + 2000, 7).is_some());
+    assert!(quarantine_reason(&quarantine, START_MS + 2000, 8).is_some());
 }
 
-/// Symptom: what a team asks all the time is refused, as replicas that ended
-/// were always running it. Cause: nobody sees that it ends well as often.
+/// Guards against refusing a frequent request of a team because it is in
+/// flight at every crash, although it succeeds as often.
 #[test]
-fn a_success_clears_what_was_noted_before_it() {
-    let mut known = Quarantine::default();
+fn a_success_clears_earlier_crashes() {
+    let mut quarantine = Quarantine::default();
     for replica in 0..6 {
-        let at = START + 1000 * replica as i64;
-        end(&mut known, replica, at, &[7]);
+        let at = START_MS + 1000 * replica as i64;
+        crash_replica(&mut quarantine, replica, at, &[7]);
         let success = Success { fingerprint: 7, at: at + 200 };
-        assert_eq!(known.succeed(at + 200, success, Source::Own), Some(1));
-        assert_eq!(keeps(&known, at + 300, 7), None);
+        assert_eq!(
+            quarantine.succeed(at + 200, success, Source::Own),
+            Some(1)
+        );
+        assert_eq!(quarantine_reason(&quarantine, at + 300, 7), None);
     }
-    // Late word of an end before it changes nothing, and its teller is told.
-    let (now, late) = (START + 6000, crash(7, 50, START + 5100));
-    assert_eq!(known.crash(now, late, Source::Other), None);
-    assert_eq!(known.tell(now + 2000).successes, []);
-    assert_eq!(known.crash(now + 2000, late, Source::Other), None);
-    assert_eq!(known.tell(now + 2000).successes.len(), 1);
-    // And one that has never been at an end leaves no trace.
+    // A late report of an earlier crash changes nothing. The node that sent it
+    // receives a report of the success.
+    let (now, late) = (START_MS + 6000, crash(7, 50, START_MS + 5100));
+    assert_eq!(quarantine.crash(now, late, Source::Other), None);
+    assert_eq!(quarantine.tell(now + 2000).successes, []);
+    assert_eq!(quarantine.crash(now + 2000, late, Source::Other), None);
+    assert_eq!(quarantine.tell(now + 2000).successes.len(), 1);
+    // A request that was never in flight at a crash leaves no record.
     let success = Success { fingerprint: 8, at: now };
-    assert_eq!(known.succeed(now, success, Source::Own), None);
-    assert_eq!(known.len(), 1);
+    assert_eq!(quarantine.succeed(now, success, Source::Own), None);
+    assert_eq!(quarantine.len(), 1);
 }
 
-/// Symptom: one end counts three times. Cause: three nodes tell of it.
+/// Guards against counting a crash three times because three nodes report it.
 #[test]
-fn an_end_counts_once_whoever_tells_of_it() {
-    let mut known = Quarantine::default();
-    let now = START + 900;
-    assert_eq!(known.crash(START, crash(7, 1, START), Source::Own), Some(1));
-    assert_eq!(known.crash(now, crash(7, 1, START + 4), Source::Other), None);
-    assert_eq!(known.crash(now, crash(7, 1, START - 3), Source::Other), None);
-    assert_eq!(keeps(&known, now, 7), None);
+fn a_crash_counts_once_however_many_nodes_report_it() {
+    let mut quarantine = Quarantine::default();
+    let now = START_MS + 900;
+    assert_eq!(
+        quarantine.crash(START_MS, crash(7, 1, START_MS), Source::Own),
+        Some(1)
+    );
+    assert_eq!(
+        quarantine.crash(now, crash(7, 1, START_MS + 4), Source::Other),
+        None
+    );
+    assert_eq!(
+        quarantine.crash(now, crash(7, 1, START_MS - 3), Source::Other),
+        None
+    );
+    assert_eq!(quarantine_reason(&quarantine, now, 7), None);
 }
 
-/// Symptom: one node keeps a request away and the next one does not. Sequence:
-/// each of three nodes sees one end, and the word of one is lost at first.
+/// Guards against nodes that disagree on a quarantine. Each of three nodes
+/// notices one crash, and the first reports of one node are lost.
 #[test]
-fn what_each_node_saw_adds_up_at_all_of_them() {
+fn crashes_seen_by_each_node_add_up_at_every_node() {
     let mut nodes = [(); 3].map(|()| Quarantine::default());
-    for (at, known) in nodes.iter_mut().enumerate() {
-        end(known, at as u64, START + at as i64, &[7]);
+    for (at, quarantine) in nodes.iter_mut().enumerate() {
+        crash_replica(quarantine, at as u64, START_MS + at as i64, &[7]);
     }
     for round in 0..4 {
-        let now = START + 300 * (round + 1);
-        let words = nodes.each_mut().map(|known| known.tell(now));
-        for (from, word) in words.iter().enumerate() {
-            for (to, known) in nodes.iter_mut().enumerate() {
+        let now = START_MS + 300 * (round + 1);
+        let reports = nodes.each_mut().map(|quarantine| quarantine.tell(now));
+        for (from, report) in reports.iter().enumerate() {
+            for (to, quarantine) in nodes.iter_mut().enumerate() {
                 let is_lost = from == 1 && round < 2;
                 if from == to || is_lost {
                     continue;
                 }
-                for one in &word.crashes {
-                    known.crash(now, *one, Source::Other);
+                for crash in &report.crashes {
+                    quarantine.crash(now, *crash, Source::Other);
                 }
             }
         }
     }
-    for known in &nodes {
-        assert!(keeps(known, START + 1500, 7).is_some());
+    for quarantine in &nodes {
+        assert!(quarantine_reason(quarantine, START_MS + 1500, 7).is_some());
     }
-    // One that starts later is told as well, by whomever it hears.
+    // A node that starts later learns of the crashes from any node.
     let mut late = Quarantine::default();
-    for one in nodes[0].tell(START + 10_000).crashes {
-        late.crash(START + 10_000, one, Source::Other);
+    for crash in nodes[0].tell(START_MS + 10_000).crashes {
+        late.crash(START_MS + 10_000, crash, Source::Other);
     }
-    assert!(keeps(&late, START + 10_000, 7).is_some());
+    assert!(quarantine_reason(&late, START_MS + 10_000, 7).is_some());
 }
 
-/// Symptom: a node's memory and its datagrams grow for as long as replicas
-/// end. Sequence: ten thousand requests are at ends, of which one is at three.
+/// Guards against memory and datagrams that grow for as long as replicas
+/// crash. Ten thousand requests are in flight at crashes, one of them at
+/// three.
 #[test]
-fn what_is_known_is_bounded_and_forgotten() {
-    let mut known = Quarantine::default();
+fn records_are_bounded_and_expire() {
+    let mut quarantine = Quarantine::default();
     for replica in 0..3 {
-        end(&mut known, replica, START + 500 * replica as i64, &[7]);
+        crash_replica(
+            &mut quarantine,
+            replica,
+            START_MS + 500 * replica as i64,
+            &[7],
+        );
     }
     for other in 0..10_000 {
-        end(&mut known, 100 + other / 30, START + 2000, &[1000 + other]);
+        crash_replica(
+            &mut quarantine,
+            100 + other / 30,
+            START_MS + 2000,
+            &[1000 + other],
+        );
     }
-    assert!(known.len() <= 2048, "{}", known.len());
-    let word = known.tell(START + 2500);
-    assert!(word.crashes.len() <= 64 + 4 * 8, "{}", word.crashes.len());
-    assert!(keeps(&known, START + 3000, 7).is_some());
-    known.expire(START + 3 * LONG);
-    assert!(known.is_empty());
+    assert!(quarantine.len() <= 2048, "{}", quarantine.len());
+    let report = quarantine.tell(START_MS + 2500);
+    assert!(report.crashes.len() <= 64 + 4 * 8, "{}", report.crashes.len());
+    assert!(quarantine_reason(&quarantine, START_MS + 3000, 7).is_some());
+    quarantine.expire(START_MS + 3 * BEYOND_QUARANTINE_MS);
+    assert!(quarantine.is_empty());
 }
 
-/// Symptom: a node that starts lets a request end three replicas although all
-/// others keep it away. Sequence: a hundred bystanders are at two ends each;
-/// four requests are told at a time, and sixty-four to a node that starts.
-/// Cause: those with the lowest numbers were told, again and again.
+/// Guards against a node that starts and lets a request crash three replicas
+/// although all other nodes quarantine it. A hundred bystanders are in flight
+/// at two crashes each. Four requests are reported at a time, and sixty-four
+/// to a node that starts; without turns, these were always the ones with the
+/// lowest fingerprints.
 #[test]
-fn requests_at_several_ends_are_told_in_turn() {
-    let mut known = Quarantine::default();
+fn requests_with_several_crashes_are_reported_in_turn() {
+    let mut quarantine = Quarantine::default();
     for replica in 0..3 {
-        end(&mut known, replica, START, &[u64::MAX]);
+        crash_replica(&mut quarantine, replica, START_MS, &[u64::MAX]);
     }
     for bystander in 0..100 {
-        end(&mut known, 10, START, &[bystander]);
-        end(&mut known, 11, START, &[bystander]);
+        crash_replica(&mut quarantine, 10, START_MS, &[bystander]);
+        crash_replica(&mut quarantine, 11, START_MS, &[bystander]);
     }
-    let is_told = |word: &Word| {
-        word.crashes.iter().any(|one| one.fingerprint == u64::MAX)
+    let is_reported = |report: &Word| {
+        report.crashes.iter().any(|crash| crash.fingerprint == u64::MAX)
     };
-    assert!(is_told(&known.several()));
-    let after = START + 2000;
-    let told = (0..30).any(|round| is_told(&known.tell(after + 300 * round)));
-    assert!(told, "not within nine seconds");
+    assert!(is_reported(&quarantine.several()));
+    let after = START_MS + 2000;
+    let reported = (0..30)
+        .any(|round| is_reported(&quarantine.tell(after + 300 * round)));
+    assert!(reported, "not reported within nine seconds");
 }
 
-/// Whatever is told in whatever order, and however often, nodes that were told
-/// the same keep the same requests away.
+/// Nodes that receive the same reports quarantine the same requests, in
+/// whatever order and however often the reports arrive.
 #[test]
-fn the_order_of_words_does_not_matter() {
+fn the_order_of_reports_does_not_matter() {
     fixed_seeds(60, |input| {
-        let mut words = Vec::new();
+        let mut crashes = Vec::new();
         for _ in 0..input.int_in_range(1..=24)? {
             let fingerprint = input.int_in_range(1..=3)?;
             let replica = input.int_in_range(1..=6)?;
-            let at = START + 50 * replica as i64;
-            words.push(crash(fingerprint, replica, at));
+            let at = START_MS + 50 * replica as i64;
+            crashes.push(crash(fingerprint, replica, at));
         }
-        let mut one = Quarantine::default();
-        let mut other = Quarantine::default();
-        let now = START + 1000;
-        for word in &words {
-            one.crash(now, *word, Source::Other);
+        let mut once = Quarantine::default();
+        let mut repeated = Quarantine::default();
+        let now = START_MS + 1000;
+        for crash in &crashes {
+            once.crash(now, *crash, Source::Other);
         }
-        for word in words.iter().rev().chain(&words) {
-            other.crash(now, *word, Source::Other);
+        for crash in crashes.iter().rev().chain(&crashes) {
+            repeated.crash(now, *crash, Source::Other);
         }
         for fingerprint in 1..=3 {
-            let told = keeps(&one, now, fingerprint);
-            assert_eq!(told, keeps(&other, now, fingerprint));
+            let reason = quarantine_reason(&once, now, fingerprint);
+            assert_eq!(reason, quarantine_reason(&repeated, now, fingerprint));
         }
         Ok(())
     });
 }
 
-/// Guards against sound requests that are kept away as many replicas end at
-/// once under what all callers ask, and nodes notice it one after the other.
+/// Guards against quarantining a harmless request that all callers send when
+/// many replicas crash under it at once and nodes notice the crashes one after
+/// the other.
 #[test]
-fn an_end_has_one_moment_whoever_notices_it_when() {
-    let mut known = Quarantine::default();
+fn a_crash_has_one_time_whenever_nodes_notice_it() {
+    let mut quarantine = Quarantine::default();
     for replica in 0..6 {
         let late = 400 * replica as i64;
-        // Sent to the replica while it was away already, at another node, of
-        // which this one hears first.
-        known.crash(
-            START + 3000,
-            crash(7, replica, START + late),
+        // Another node sent the request to the replica when it was already
+        // down, and its report arrives first.
+        quarantine.crash(
+            START_MS + 3000,
+            crash(7, replica, START_MS + late),
+            Source::Other,
+        );
+        quarantine.crash(
+            START_MS + 3000,
+            crash(7, replica, START_MS),
             Source::Other,
         );
-        known.crash(START + 3000, crash(7, replica, START), Source::Other);
     }
     let replicas = || 12;
-    assert_eq!(known.keeps(START + 3000, 7, replicas), None);
+    assert_eq!(quarantine.keeps(START_MS + 3000, 7, replicas), None);
 }
 
-/// Guards against a request that counts for ends before which it can't have
-/// been sent: others were under way there, and their connections broke before.
+/// Guards against counting crashes against a request that was sent only after
+/// them: the connections of other requests in flight there broke earlier.
 #[test]
-fn a_request_that_met_replicas_after_their_end_has_not_ended_them() {
-    let mut known = Quarantine::default();
+fn a_crash_before_a_request_does_not_count_against_it() {
+    let mut quarantine = Quarantine::default();
     for replica in 0..4 {
-        let at = START + 1500 * replica as i64;
+        let at = START_MS + 1500 * replica as i64;
         let other = 100 + replica;
-        end(&mut known, replica, at, &[other]);
-        end(&mut known, replica, at + 1200, &[7]);
+        crash_replica(&mut quarantine, replica, at, &[other]);
+        crash_replica(&mut quarantine, replica, at + 1200, &[7]);
     }
-    assert_eq!(keeps(&known, START + 8000, 7), None);
+    assert_eq!(quarantine_reason(&quarantine, START_MS + 8000, 7), None);
 }
 
-/// Guards against a request that is found out no more, as its ends were dated
-/// by what else was there.
+/// Guards against failing to identify a request because the times of its
+/// crashes come from other requests in flight there.
 #[test]
-fn a_request_that_was_there_counts_beside_others() {
-    let mut known = Quarantine::default();
+fn a_crash_counts_against_each_request_in_flight() {
+    let mut quarantine = Quarantine::default();
     for replica in 0..3 {
-        let at = START + 1500 * replica as i64;
-        end(&mut known, replica, at, &[100 + replica]);
-        end(&mut known, replica, at + 30, &[7]);
+        let at = START_MS + 1500 * replica as i64;
+        crash_replica(&mut quarantine, replica, at, &[100 + replica]);
+        crash_replica(&mut quarantine, replica, at + 30, &[7]);
     }
-    assert_eq!(keeps(&known, START + 8000, 7).unwrap().crashes, 3);
+    assert_eq!(
+        quarantine_reason(&quarantine, START_MS + 8000, 7).unwrap().crashes,
+        3
+    );
 }
 
-/// Guards against what all callers ask being kept away after an outage that
-/// becomes known seconds later, although it has ended well since.
+/// Guards against quarantining a request that all callers send after an outage
+/// that becomes known seconds later, although the request has succeeded since.
 #[test]
-fn a_success_counts_against_ends_that_become_known_after_it() {
-    let mut known = Quarantine::default();
-    for at in (START..START + 2500).step_by(100) {
+fn a_success_clears_crashes_that_are_reported_after_it() {
+    let mut quarantine = Quarantine::default();
+    for at in (START_MS..START_MS + 2500).step_by(100) {
         let success = Success { fingerprint: 7, at };
-        known.succeed(at, success, Source::Own);
+        quarantine.succeed(at, success, Source::Own);
     }
     for replica in 0..6 {
-        let at = START + 400 * replica as i64;
+        let at = START_MS + 400 * replica as i64;
         let crash = crash(7, replica, at);
-        assert_eq!(known.crash(START + 3000, crash, Source::Own), None);
-        // Nodes that have seen no success are told.
-        known.crash(START + 3000, crash, Source::Other);
+        assert_eq!(
+            quarantine.crash(START_MS + 3000, crash, Source::Own),
+            None
+        );
+        // Nodes that have not seen a success receive a report of it.
+        quarantine.crash(START_MS + 3000, crash, Source::Other);
     }
-    assert_eq!(keeps(&known, START + 3000, 7), None);
-    assert_eq!(known.tell(START + 3000).successes.len(), 1);
+    assert_eq!(quarantine_reason(&quarantine, START_MS + 3000, 7), None);
+    assert_eq!(quarantine.tell(START_MS + 3000).successes.len(), 1);
 }
 
-/// Guards against a memory of requests that ended well which grows with them.
+/// Guards against memory that grows with the number of successful requests.
 #[test]
-fn successes_are_remembered_in_bounded_memory() {
-    let mut known = Quarantine::default();
+fn successes_are_kept_in_bounded_memory() {
+    let mut quarantine = Quarantine::default();
     for request in 0..100_000 {
-        let at = START + request as i64 / 10;
+        let at = START_MS + request as i64 / 10;
         let success = Success { fingerprint: request, at };
-        known.succeed(at, success, Source::Own);
+        quarantine.succeed(at, success, Source::Own);
     }
-    assert!(known.remembered() <= 8192, "{}", known.remembered());
-    known.expire(START + LONG);
-    assert_eq!(known.remembered(), 0);
-    // Far in the past it says nothing of what ends replicas now.
-    let now = START + LONG;
+    assert!(quarantine.remembered() <= 8192, "{}", quarantine.remembered());
+    quarantine.expire(START_MS + BEYOND_QUARANTINE_MS);
+    assert_eq!(quarantine.remembered(), 0);
+    // A success in the distant past does not clear current crashes.
+    let now = START_MS + BEYOND_QUARANTINE_MS;
     for replica in 0..3 {
-        end(&mut known, replica, now + 700 * replica as i64, &[99_999]);
+        crash_replica(
+            &mut quarantine,
+            replica,
+            now + 700 * replica as i64,
+            &[99_999],
+        );
     }
-    assert!(keeps(&known, now + 3000, 99_999).is_some());
+    assert!(quarantine_reason(&quarantine, now + 3000, 99_999).is_some());
 }
 
-/// Guards against requests that end replicas and hide each other: four of them,
-/// each ending one of twelve every 0.6 s, looked like an outage.
+/// Guards against requests that crash replicas and hide each other. Four of
+/// them, each crashing one of twelve replicas every 0.6 s, looked like an
+/// outage.
 #[test]
-fn many_requests_that_end_replicas_do_not_hide_each_other() {
-    let mut known = Quarantine::default();
+fn many_requests_that_crash_replicas_do_not_hide_each_other() {
+    let mut quarantine = Quarantine::default();
     for step in 0..4u64 {
         for request in 0..4 {
-            let at = START + 600 * step as i64 + 150 * request as i64;
+            let at = START_MS + 600 * step as i64 + 150 * request as i64;
             let replica = (4 * step + request) % 12;
-            end(&mut known, replica, at, &[request]);
+            crash_replica(&mut quarantine, replica, at, &[request]);
         }
     }
     let replicas = || 12;
     for request in 0..4 {
-        let kept = known.keeps(START + 3000, request, replicas);
-        assert!(kept.is_some(), "request {request}");
+        let reason = quarantine.keeps(START_MS + 3000, request, replicas);
+        assert!(reason.is_some(), "request {request}");
     }
 }
 
-/// Guards against a request that is taken for a bystander as it goes on from
+/// Guards against taking a request for a bystander because it moves from
 /// replica to replica at two nodes at once.
 #[test]
-fn a_request_that_goes_on_elsewhere_is_no_outage() {
-    let mut known = Quarantine::default();
+fn a_request_that_moves_between_replicas_is_not_an_outage() {
+    let mut quarantine = Quarantine::default();
     for step in 0..2 {
         for node in 0..2 {
-            let at = START + 60 * step + 15 * node;
-            end(&mut known, (2 * step + node) as u64, at, &[7]);
+            let at = START_MS + 60 * step + 15 * node;
+            crash_replica(&mut quarantine, (2 * step + node) as u64, at, &[7]);
         }
     }
     let replicas = || 8;
-    assert!(known.keeps(START + 3000, 7, replicas).is_some());
+    assert!(quarantine.keeps(START_MS + 3000, 7, replicas).is_some());
 }
 
-/// Guards against requests that end replicas in step and so look like outages:
-/// four of them each time at once, of twelve replicas.
+/// Guards against requests that crash replicas in step and so look like an
+/// outage: four of them at a time, of twelve replicas.
 #[test]
-fn requests_that_end_replicas_in_step_are_found_out() {
-    let mut known = Quarantine::default();
+fn requests_that_crash_replicas_in_step_are_quarantined() {
+    let mut quarantine = Quarantine::default();
     for step in 0..3u64 {
         for request in 0..4 {
-            let at = START + 600 * step as i64 + 15 * request as i64;
-            end(&mut known, 4 * step + request, at, &[request]);
+            let at = START_MS + 600 * step as i64 + 15 * request as i64;
+            crash_replica(&mut quarantine, 4 * step + request, at, &[request]);
         }
     }
     let replicas = || 12;
     for request in 0..4 {
-        let kept = known.keeps(START + 3000, request, replicas);
-        assert!(kept.is_some(), "request {request}");
+        let reason = quarantine.keeps(START_MS + 3000, request, replicas);
+        assert!(reason.is_some(), "request {request}");
     }
 }
 
-/// Guards against ends that are certain only seconds later, while the request
-/// goes on from replica to replica.
+/// Guards against a request that moves from replica to replica and crashes
+/// them while the crashes are not yet confirmed.
 #[test]
-fn suspected_ends_hold_a_request_back_until_it_is_certain() {
-    let mut known = Quarantine::default();
+fn suspected_crashes_quarantine_a_request_until_confirmed() {
+    let mut quarantine = Quarantine::default();
     for replica in 0..3 {
-        let at = START + 300 * replica as i64;
+        let at = START_MS + 300 * replica as i64;
         let crash = crash(7, replica, at);
-        assert!(known.suspect(at + 20, crash, Source::Own).is_some());
+        assert!(quarantine.suspect(at + 20, crash, Source::Own).is_some());
     }
-    let now = START + 700;
-    let reason = keeps(&known, now, 7).unwrap();
+    let now = START_MS + 700;
+    let reason = quarantine_reason(&quarantine, now, 7).unwrap();
     assert!(!reason.is_certain);
     assert!(reason.wait_ms > 0 && reason.retry_after_ms() == reason.wait_ms);
-    assert!(!known.try_again(now + 60_000, 7, reason, 0));
-    assert_eq!(known.tell(now).suspected.len(), 3);
-    assert_eq!(known.several(), Word::default());
-    // One of the replicas is heard: it lives.
+    assert!(!quarantine.try_again(now + 60_000, 7, reason, 0));
+    assert_eq!(quarantine.tell(now).suspected.len(), 3);
+    assert_eq!(quarantine.several(), Word::default());
+    // One of the replicas is heard, so it has not crashed.
     let mut heard = Quarantine::default();
     for replica in 0..3 {
-        heard.suspect(now, crash(7, replica, START), Source::Other);
+        heard.suspect(now, crash(7, replica, START_MS), Source::Other);
     }
     heard.withdraw(7, |replica, _| replica == 2);
-    assert_eq!(keeps(&heard, now, 7), None);
-    // It is free without a word after the time that certainty takes.
-    assert_eq!(keeps(&known, START + 10_000, 7), None);
-    // Certain ends stay, and none counts twice.
+    assert_eq!(quarantine_reason(&heard, now, 7), None);
+    // Without reports, the request is released after the time that a
+    // confirmation takes.
+    assert_eq!(quarantine_reason(&quarantine, START_MS + 10_000, 7), None);
+    // Confirmed crashes remain, and none counts twice.
     for replica in 0..3 {
-        let at = START + 300 * replica as i64;
-        known.crash(START + 3000, crash(7, replica, at), Source::Own);
+        let at = START_MS + 300 * replica as i64;
+        quarantine.crash(START_MS + 3000, crash(7, replica, at), Source::Own);
     }
-    let reason = keeps(&known, START + 3100, 7).unwrap();
+    let reason = quarantine_reason(&quarantine, START_MS + 3100, 7).unwrap();
     assert_eq!((reason.crashes, reason.is_certain), (3, true));
 }
