--- a/src/decide/quota/mod.rs
+++ b/src/decide/quota/mod.rs
@@ -1,206 +1,215 @@
-//! How much a team may still use, when many entries admit for it at once.
+//! Quotas of teams, when many nodes admit requests at the same time.
 //!
-//! Every entry keeps a [`Meter`] for each team: a token bucket of the whole
-//! quota. What this entry admits is taken out at once; what the others have
-//! admitted is taken out when they tell of it, by running totals, so that a
-//! lost message is made up for by the next. Between two messages all entries
-//! together can admit more than the quota; the bucket then goes below zero
-//! and all of them refuse until it has filled up again.
+//! Every node keeps a [`Meter`] for each team: a token bucket of the whole
+//! quota. Requests that this node admits are deducted at once. Requests that
+//! other nodes admit are deducted when those nodes report them. Reports carry
+//! running totals, so the next report makes up for a lost one. Between two
+//! reports, all nodes together can admit more than the quota. The bucket then
+//! goes below zero, and all nodes refuse requests until it has refilled.
 //!
-//! What the others admit just now is not known yet. It is taken to be what
-//! they admitted a moment ago, for as long as their word takes to arrive; so
-//! much of the bucket is not given away. Without that, a flood at seventy
-//! entries overdraws it by a second's worth in all.
+//! What the other nodes have admitted since their last report is unknown. It
+//! is estimated from their recent rate of use and the propagation delay of
+//! reports, and that part of the bucket is held back. Without this, a flood at
+//! seventy nodes overdraws the bucket by one second's worth of the quota in
+//! total.
 //!
-//! # Large requests and small ones
+//! # Large and small requests
 //!
-//! A bucket that admits whatever its level covers favours small requests:
-//! under a flood they keep the level low, and long prompts are hardly ever
-//! covered. At two to six times the quota one central bucket refuses 84 in
-//! 100 of the longest prompts, 61 of the others and 15 of the short tags that
-//! are worth least for their tokens. So requests are admitted while there is
-//! any level at all, and may start a debt; all but the smallest and the most
-//! urgent are then refused alike, 59 to 60 in 100 of each. The smallest ones
-//! hardly count, and the most urgent are mostly short questions: they are
-//! admitted further into the debt, within `USABLE` of the tolerance by which
-//! use may exceed the quota. Ten entries so refuse 38 in 100 of what the
-//! requests are worth, where one bucket that knows everything refuses 39.
+//! A bucket that admits every request that its level covers favours small
+//! requests. Under a flood, they keep the level low, and it hardly ever covers
+//! a long prompt. At two to six times the quota, one central bucket refuses 84
+//! in 100 of the longest prompts, 61 of the others and 15 of the short tags
+//! that are worth least for their tokens. So requests are admitted as long as
+//! the bucket is not empty, and may leave a debt. All but the smallest and the
+//! most urgent requests are then refused alike, 59 to 60 in 100 of each kind.
+//! The smallest requests hardly count, and the most urgent ones are mostly
+//! short questions. Both are admitted further into the debt, within
+//! `USABLE_TOLERANCE` of the tolerance by which use may exceed the quota. Ten
+//! nodes thus refuse 38 in 100 of what the requests are worth, where one
+//! bucket with complete knowledge refuses 39.
 //!
-//! # Word that comes too late
+//! # Late reports
 //!
-//! When a flood begins nobody can know; all entries then overdraw the bucket
-//! together, and refuse until it has filled up. If all admitted again from
-//! that moment on, as much as comes, they would overdraw it again, and again.
-//! Among ten entries that stays within the tolerance. Where it would not,
-//! each entry paces itself for a while after a refusal: it admits no more
-//! than the part of the rate that it has had lately. With 74 entries and ten
-//! times the quota asked for, the most in any eight seconds falls from 11.1
-//! to 9.1 seconds' worth, where nine are meant. Among ten it would only cost
-//! the team: a request finds no room in one entry's part while the others
+//! When a flood begins, no node can know of it. All nodes then overdraw the
+//! bucket together, and refuse requests until it has refilled. If all nodes
+//! then admitted every request again, they would overdraw the bucket again and
+//! again. With ten nodes, this stays within the tolerance. Where it would not,
+//! each node paces itself for a while after a refusal: it admits no more than
+//! its recent share of the rate. With 74 nodes and ten times the quota
+//! requested, the maximum in any eight seconds falls from 11.1 to 9.1 seconds'
+//! worth, where nine are intended. With ten nodes, pacing would only cost the
+//! team: a request finds no room in the share of one node while other nodes
 //! have some left.
 //!
-//! # Behind a cut
+//! # Network partitions
 //!
-//! Entries that are not heard may go on serving. For each of them an equal
-//! part of the rate is left out, so that both sides of a cut together stay
-//! within the quota, and neither is stranded without any of it. What was left
-//! out is not taken again when the cut heals and the others tell what they
-//! have admitted meanwhile: that would refuse everything for as long as the
-//! cut was.
+//! Nodes that are not heard may still serve. For each of them, an equal share
+//! of the rate is withheld, so that both sides of a partition together stay
+//! within the quota, and neither side is left without any. When the partition
+//! heals and the other nodes report what they admitted in the meantime, the
+//! withheld units are not deducted a second time. Otherwise this node would
+//! refuse everything for as long as the partition lasted.
 //!
-//! # Entries that start
+//! # Nodes that start
 //!
-//! An entry that starts knows nothing of what has been used. Were its bucket
-//! full, each of those that start together would give out the quota anew. So it
-//! [joins](Meter::join) with an empty bucket and asks an entry that knows for
-//! the [`Level`] of its own. It takes the others to go on as it is told, until
-//! each has had time to tell what it uses itself. As long as nobody has told
-//! it anything it keeps to its part of the rate, which is all that there is to
-//! go by when all have started together.
+//! A node that starts does not know what has been used. If its bucket were
+//! full, each of several nodes that start together would give out the quota
+//! anew. So the node [joins](Meter::join) with an empty bucket and asks a node
+//! with that knowledge for the [`Level`] of its bucket. It assumes that the
+//! other nodes go on at the rate that it learns, until each of them has had
+//! time to report its own use. Until it learns a level, it keeps to its share
+//! of the rate, the only available bound when all nodes have started together.
 
 mod pace;
 
-use self::pace::{PACED_MS, Pace};
+use self::pace::{PACING_MS, Pace};
 use crate::util::{common, position};
 
-/// For so long after the start, totals of others are taken for old, in ms: a
-/// new entry can't know when they were used.
-const SETTLE_MS: u64 = 1500;
-/// The same in times that word takes on average, where that is longer: all
-/// others have had their turn after two, and one datagram may be lost.
-const SETTLE_LAGS: f64 = 2.6;
+/// Time after the start of a node in which the first total from each other
+/// node is not deducted, in ms: the starting node can't know when those units
+/// were used.
+const SETTLING_MS: u64 = 1500;
+/// The same as a multiple of the mean propagation delay, where that is longer.
+/// After two, every other node has had its turn to report, and one datagram
+/// may be lost.
+const SETTLING_DELAYS: f64 = 2.6;
 
-/// For so long after a cut has healed, what was left out still stands for
-/// what those behind it tell, in ms: the first datagram from each.
-const HEAL_MS: u64 = 1500;
+/// Time after a partition heals or a stall ends in which units are still
+/// offset against reports from other nodes, in ms: long enough for the first
+/// datagram from each of them.
+const OFFSET_MS: u64 = 1500;
 
-/// What another entry has told.
+/// What another node has reported.
 #[derive(Clone, Debug)]
-struct Other {
-    /// Its incarnation.
-    entry: u64,
-    /// Its running total that has been taken out.
-    taken: u64,
-    /// It has not been heard for a while.
+struct Peer {
+    /// Incarnation of the node.
+    node: u64,
+    /// Running total that has been accounted for.
+    accounted: u64,
+    /// Whether the node has not been heard for a while.
     silent: bool,
-    /// What it tells next was used before this entry was told of it.
+    /// Whether its next report covers use from before this node received
+    /// reports.
     is_stale: bool,
 }
 
-/// The part of the tolerance that a team may use. The rest is for what the
-/// others admit within one round of word: with a tenth and a hundred and forty
-/// thousand tokens, ten entries come to 0.94 of what is allowed at six times
-/// the quota.
-const USABLE: f64 = 0.8;
-/// How late word is within one round on average, in ms.
-const ROUND_MS: f64 = 150.0;
-/// What all entries admit too much while word is late, in quotas: a flood of
-/// six times the quota, from a standstill.
-const FLOOD: f64 = 5.0;
-/// Entries pace themselves where word that is late could exceed the tolerance
-/// at a flood of so many times the quota; they can't tell how large it is.
-const PACED_FLOOD: f64 = 8.0;
-/// A request of so many times the average counts as large: from there on all
-/// are refused alike, whatever their size. Higher, short requests take what
-/// long prompts lack.
-const LARGE: f64 = 0.15;
-/// What the size of the most urgent requests counts for.
-const URGENT: f64 = 0.1;
-/// The weight of one more request in the average size.
-const SIZE_SHARE: f64 = 0.03;
+/// Fraction of the tolerance that a team may use. The rest covers what the
+/// other nodes admit within one round of reports: with a tenth and a hundred
+/// and forty thousand tokens of tolerance, ten nodes reach 0.94 of what is
+/// allowed at six times the quota.
+const USABLE_TOLERANCE: f64 = 0.8;
+/// Mean propagation delay of reports within one round, in ms.
+const MEAN_ROUND_DELAY_MS: f64 = 150.0;
+/// Excess that all nodes together admit while reports are late, in quotas:
+/// that of a sudden flood of six times the quota.
+const FLOOD_EXCESS: f64 = 5.0;
+/// Nodes pace themselves where late reports could exceed the tolerance at an
+/// excess of this many quotas; the nodes can't know the size of a flood.
+const PACED_FLOOD_EXCESS: f64 = 8.0;
+/// Size from which a request counts as large, as a multiple of the mean size.
+/// Large requests are all refused alike, whatever their size. At a higher
+/// value, short requests take the units that long prompts lack.
+const LARGE_SIZE_RATIO: f64 = 0.15;
+/// Factor on the size of urgent requests.
+const URGENT_SIZE_FACTOR: f64 = 0.1;
+/// Weight of one more request in the mean size.
+const MEAN_SIZE_WEIGHT: f64 = 0.03;
 
-/// One team's bucket.
+/// Token bucket of one team.
 #[derive(Clone, Debug)]
 pub struct Meter {
     level: f64,
     filled_at: u64,
     opened_at: u64,
-    /// How late word is on average, as of the last request.
+    /// Mean propagation delay of reports in ms, as of the last request.
     lag_ms: f64,
-    /// It does not know yet what was used before it was opened.
+    /// Whether the use before this bucket was opened is unknown.
     is_joining: bool,
-    /// What others used when it learned of them, in units a ms; they are taken
-    /// to go on with that until it has been told by all.
-    known_rate: Option<f64>,
-    /// What other entries have told, sorted by entry.
-    others: Vec<Other>,
-    /// Admitted here since the start.
-    own: u64,
-    /// Left out for entries that were not heard, and until when it stands for
-    /// what they tell.
-    left_out: f64,
-    left_out_until: u64,
-    /// What the quota gave while this entry stood still, and until when it
-    /// stands for what the others tell.
-    stood: f64,
-    stood_until: u64,
-    /// Units each second, as of the last request.
+    /// Rate of use by other nodes, in units per ms, at the time this node
+    /// learned it. They are assumed to go on at this rate until all of them
+    /// have reported.
+    learned_rate: Option<f64>,
+    /// Reports of other nodes, sorted by node.
+    peers: Vec<Peer>,
+    /// Units admitted by this node since its start.
+    own_total: u64,
+    /// Units withheld for nodes that were not heard, and the time in ms until
+    /// which they are offset against the reports of these nodes.
+    withheld: f64,
+    withheld_until: u64,
+    /// Units that the quota granted while this node was stalled, and the time
+    /// in ms until which they are offset against reports of other nodes.
+    stall_units: f64,
+    stall_units_until: u64,
+    /// Rate of the quota in units a second, as of the last request.
     rate: f64,
-    /// What the others have told since the bucket was last filled, and what
-    /// they use on average, in units a ms.
-    told: f64,
-    others_rate: f64,
-    /// Units of a request on average, as asked for.
-    size: f64,
+    /// Units that other nodes have reported since the last refill, and their
+    /// mean rate of use in units per ms.
+    reported: f64,
+    peers_rate: f64,
+    /// Mean size of a request in units, including refused requests.
+    mean_size: f64,
     pace: Pace,
 }
 
-/// Over which the others' use is averaged, in ms: two rounds of all others,
-/// where there are many.
-const RATE_MS: f64 = 3000.0;
+/// Period over which the use of other nodes is averaged, in ms: two rounds of
+/// reports from all other nodes, where there are many.
+const USE_AVERAGING_MS: f64 = 3000.0;
 
-/// What a team may use now.
+/// Current limits of a team's use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
-    /// Units each second, for all entries.
+    /// Rate of the quota in units a second, for all nodes together.
     pub rate: f64,
-    /// Units that may be saved up.
+    /// Maximum level of the bucket, in units.
     pub burst: f64,
-    /// The part of the entries that this one hears or is, from 0 to 1.
+    /// Fraction of the nodes that this node hears, itself included, from 0 to
+    /// 1.
     pub heard: f64,
-    /// How long it takes on average until another entry's use is known, in
-    /// ms.
+    /// Mean propagation delay until another node's use is known here, in ms.
     pub lag_ms: f64,
-    /// Entries that serve.
+    /// Number of nodes that serve.
     pub entries: usize,
     /// Units by which use may exceed the quota.
     pub tolerance: f64,
 }
 
 impl Allowance {
-    /// What word that is late lets all entries admit too much at a flood of
-    /// so many times the quota.
-    fn unknown(&self, flood: f64) -> f64 {
-        let late_ms = (self.lag_ms - ROUND_MS).max(0.0);
-        self.rate * late_ms / 1000.0 * flood
+    /// Returns the excess that all nodes together admit because of late
+    /// reports, in units, at a flood with an excess of `quotas` times the
+    /// quota.
+    fn unreported_excess(&self, quotas: f64) -> f64 {
+        let delay_ms = (self.lag_ms - MEAN_ROUND_DELAY_MS).max(0.0);
+        self.rate * delay_ms / 1000.0 * quotas
     }
 
-    /// The debt that a team may start.
+    /// Returns the debt that a team may incur, in units.
     fn debt(&self) -> f64 {
-        let usable = self.tolerance * USABLE;
-        (usable - self.unknown(FLOOD)).max(0.0)
+        let usable = self.tolerance * USABLE_TOLERANCE;
+        (usable - self.unreported_excess(FLOOD_EXCESS)).max(0.0)
     }
 
-    /// True where each entry keeps to its part after a refusal.
+    /// Returns whether each node keeps to its share after a refusal.
     fn is_paced(&self) -> bool {
-        self.tolerance * USABLE < self.unknown(PACED_FLOOD)
+        self.tolerance * USABLE_TOLERANCE
+            < self.unreported_excess(PACED_FLOOD_EXCESS)
     }
 }
 
-/// By how much use may exceed a quota, as it is counted over all entries.
+/// Amount by which use may exceed a quota, summed over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tolerance {
-    /// As a part of what the quota allows in a window.
+    /// Fraction of what the quota allows in a window.
     pub part: f64,
-    /// Units besides.
+    /// Additional units.
     pub units: f64,
-    /// The length of the window, in ms.
+    /// Length of the window, in ms.
     pub window_ms: f64,
 }
 
 impl Tolerance {
-    /// In units, for a quota of so many units each second and so many that
-    /// may be saved up.
+    /// Returns the tolerance in units, for a quota of `rate` units a second
+    /// and a bucket of `burst` units.
     pub fn units(&self, rate: f64, burst: f64) -> f64 {
         let allowed = rate * self.window_ms / 1000.0 + burst;
         allowed * self.part + self.units
@@ -209,37 +218,39 @@
 
 common! {
     copy
-    /// What an entry knows of a team's bucket.
+    /// State of a team's bucket, as one node knows it.
     pub struct Level {
-        /// Units in it; less than none is a debt.
+        /// Units in the bucket; negative for a debt.
         pub units: i64,
-        /// Units each second that it and others have used lately.
+        /// Units a second that this and the other nodes have used recently.
         pub used: u64,
-        /// Entries keep to their parts.
+        /// Whether nodes keep to their shares.
         pub is_paced: bool,
     }
 }
 
 common! {
     copy
-    /// Why a request is not admitted, with what that was decided by.
+    /// Why a request is not admitted, with the values that decided it.
     pub struct Shortage {
-        /// When it may come back, in ms, if nobody else takes what it needs.
+        /// Time after which the request can be admitted, in ms, if no other
+        /// request takes the units.
         pub wait_ms: u64,
-        /// Units in the bucket; less than none is a debt.
+        /// Units in the bucket; negative for a debt.
         pub level: i64,
-        /// Units that there would have to be.
+        /// Units that the request needs in the bucket.
         pub need: i64,
-        /// Of these, what others are taken to have admitted since their last
-        /// word.
+        /// Part of `need` that other nodes are estimated to have admitted
+        /// since their last reports.
         pub unseen: i64,
-        /// The bucket has enough, but this entry has had its part.
+        /// Whether the bucket has enough units, but this node has used its
+        /// share.
         pub paced: bool,
     }
 }
 
 impl Meter {
-    /// Starts full.
+    /// Creates a full bucket.
     pub fn open(now: u64, allowance: Allowance) -> Meter {
         Meter {
             level: allowance.burst,
@@ -247,25 +258,26 @@
             opened_at: now,
             lag_ms: allowance.lag_ms,
             is_joining: false,
-            known_rate: None,
-            others: Vec::new(),
-            own: 0,
-            left_out: 0.0,
-            left_out_until: 0,
-            stood: 0.0,
-            stood_until: 0,
+            learned_rate: None,
+            peers: Vec::new(),
+            own_total: 0,
+            withheld: 0.0,
+            withheld_until: 0,
+            stall_units: 0.0,
+            stall_units_until: 0,
             rate: allowance.rate,
-            told: 0.0,
-            others_rate: 0.0,
-            size: 0.0,
+            reported: 0.0,
+            peers_rate: 0.0,
+            mean_size: 0.0,
             pace: Pace::default(),
         }
     }
 
-    /// Starts empty, at an entry that does not know what was used.
+    /// Creates an empty bucket, for a node that does not know what was used.
     ///
-    /// Until it [learns](Meter::learn) that, or has been told of all others'
-    /// use for as long as it takes to matter, it admits its part of the rate.
+    /// The bucket admits the node's share of the rate until it
+    /// [learns](Meter::learn) the level, or until the other nodes have had
+    /// enough time to report their use.
     pub fn join(now: u64, allowance: Allowance) -> Meter {
         Meter {
             level: 0.0,
@@ -275,130 +287,141 @@
         }
     }
 
-    /// What this entry knows of the bucket, if it does.
+    /// Returns what this node knows of the bucket, if it knows enough.
     pub fn level(&mut self, now: u64, allowance: Allowance) -> Option<Level> {
         self.fill(now, allowance);
-        let knows = now >= self.settled_at() || self.known_rate.is_some();
-        let unseen = self.others_rate * allowance.lag_ms;
+        let knows = now >= self.settled_at() || self.learned_rate.is_some();
+        let unseen = self.peers_rate * allowance.lag_ms;
         knows.then_some(Level {
             units: self.level as i64,
-            used: ((self.others_rate + self.pace.own_rate()) * 1000.0) as u64,
+            used: ((self.peers_rate + self.pace.own_rate()) * 1000.0) as u64,
             is_paced: now < self.pace.until || self.level < unseen,
         })
     }
 
-    /// Takes what another entry knows, unless this one does by now.
+    /// Adopts the level that another node knows, unless this node knows it by
+    /// now.
     pub fn learn(&mut self, now: u64, known: Level) {
         if now >= self.settled_at() {
             return;
         }
-        let units = known.units as f64 - self.own as f64;
+        let units = known.units as f64 - self.own_total as f64;
         self.level = match std::mem::take(&mut self.is_joining) {
             true => units,
             false => self.level.min(units),
         };
-        // What is refused shows that all of the quota is used, whatever has
-        // been heard of that yet.
-        let least = if known.is_paced { self.rate } else { 0.0 };
-        self.others_rate = least.max(known.used as f64) / 1000.0;
-        self.known_rate = Some(self.others_rate);
-        let until = if known.is_paced { now + PACED_MS } else { 0 };
-        self.pace.learn(self.others_rate, until);
+        // A refusal shows that all of the quota is in use, even if it has not
+        // been reported yet.
+        let min_rate = if known.is_paced { self.rate } else { 0.0 };
+        self.peers_rate = min_rate.max(known.used as f64) / 1000.0;
+        self.learned_rate = Some(self.peers_rate);
+        let until = if known.is_paced { now + PACING_MS } else { 0 };
+        self.pace.learn(self.peers_rate, until);
     }
 
-    /// True while it admits its part only, for want of knowledge.
+    /// Returns whether only the node's share is admitted, for lack of
+    /// knowledge.
     pub fn is_joining(&self) -> bool {
         self.is_joining
     }
 
     fn settled_at(&self) -> u64 {
-        let lags_ms = (self.lag_ms * SETTLE_LAGS) as u64;
-        self.opened_at + SETTLE_MS.max(lags_ms)
+        let delays_ms = (self.lag_ms * SETTLING_DELAYS) as u64;
+        self.opened_at + SETTLING_MS.max(delays_ms)
     }
 
-    /// Admitted here since the start, to be told to the others.
+    /// Returns the units admitted by this node since its start, to be reported
+    /// to other nodes.
     pub fn own(&self) -> u64 {
-        self.own
+        self.own_total
     }
 
-    /// Takes the next total of each entry for old.
+    /// Marks the next total of each node as accounted for.
     ///
-    /// An entry that stood by has not been told what the others have used.
-    /// Taken out of its bucket at once, the totals of minutes would leave a
-    /// debt in which it refuses everything for as long.
+    /// A standby node has received no reports of what the other nodes have
+    /// used. If their totals of several minutes were deducted from its bucket
+    /// at once, they would leave a debt in which the node refuses everything
+    /// for as long.
     pub fn settle(&mut self, now: u64) {
         self.opened_at = now;
-        for other in &mut self.others {
-            other.is_stale = true;
+        for peer in &mut self.peers {
+            peer.is_stale = true;
         }
     }
 
-    /// Takes the running total of another entry, and whether it is heard at
-    /// the moment.
-    pub fn note(&mut self, now: u64, entry: u64, total: u64, heard: bool) {
+    /// Records the running total of another node, and whether that node is
+    /// heard at the moment.
+    pub fn note(&mut self, now: u64, node: u64, total: u64, heard: bool) {
         let settled_at = self.settled_at();
-        let found = position(&self.others, &entry, |one| &one.entry);
+        let found = position(&self.peers, &node, |peer| &peer.node);
         let Ok(at) = found else {
             let at = found.unwrap_or_else(|at| at);
-            let other =
-                Other { entry, taken: total, silent: !heard, is_stale: false };
-            self.others.insert(at, other);
+            let peer = Peer {
+                node,
+                accounted: total,
+                silent: !heard,
+                is_stale: false,
+            };
+            self.peers.insert(at, peer);
             if now >= settled_at {
                 self.level -= total as f64;
             }
             return;
         };
-        let other = &mut self.others[at];
+        let peer = &mut self.peers[at];
         if !heard {
-            other.silent = true;
+            peer.silent = true;
             return;
         }
-        if std::mem::take(&mut other.is_stale) {
-            other.taken = other.taken.max(total);
+        if std::mem::take(&mut peer.is_stale) {
+            peer.accounted = peer.accounted.max(total);
             return;
         }
-        let units = total.saturating_sub(other.taken) as f64;
-        other.taken = other.taken.max(total);
-        if self.known_rate.is_some() && now < settled_at {
+        let units = total.saturating_sub(peer.accounted) as f64;
+        peer.accounted = peer.accounted.max(total);
+        if self.learned_rate.is_some() && now < settled_at {
             return;
         }
-        let known = match std::mem::take(&mut other.silent) {
-            true if now < self.left_out_until => units.min(self.left_out),
+        let withheld = match std::mem::take(&mut peer.silent) {
+            true if now < self.withheld_until => units.min(self.withheld),
             _ => 0.0,
         };
-        self.left_out -= known;
-        let units = units - known;
-        let stood = if now < self.stood_until { self.stood } else { 0.0 };
-        let meanwhile = units.min(stood);
-        self.stood = stood - meanwhile;
-        let units = units - meanwhile;
+        self.withheld -= withheld;
+        let units = units - withheld;
+        let stall_units =
+            if now < self.stall_units_until { self.stall_units } else { 0.0 };
+        let offset = units.min(stall_units);
+        self.stall_units = stall_units - offset;
+        let units = units - offset;
         self.level -= units;
-        self.told += units;
+        self.reported += units;
     }
 
-    /// This entry has stood still for so long, as on a VM that is frozen.
+    /// Records that this node was stalled for `for_ms`, for instance on a
+    /// frozen VM.
     ///
-    /// What the others have admitted meanwhile comes in all at once. Taken out
-    /// of a bucket that was cut off at its brim, it would leave seconds of
-    /// debt, and this entry would refuse nearly everything while the others
-    /// admit. Filled up to the brim before they are heard, this entry alone
-    /// would admit a burst that the others have used. So what the quota gave
-    /// meanwhile is set against what they tell; what is left of it after that
-    /// is filled in.
+    /// The reports on what other nodes admitted in the meantime arrive all at
+    /// once. If they were deducted from a bucket that is capped at its burst,
+    /// they would leave a debt of several seconds, and this node would refuse
+    /// nearly everything while other nodes admit requests. If the bucket were
+    /// filled to its burst before those reports arrive, this node alone would
+    /// admit a burst that the other nodes have used. So the units that the
+    /// quota granted during the stall are offset against the reports, and the
+    /// rest is added to the bucket afterwards.
     pub fn stood_still(&mut self, now: u64, for_ms: u64) {
         self.filled_at = now;
-        self.stood = self.rate * for_ms as f64 / 1000.0;
-        self.stood_until = now + HEAL_MS;
+        self.stall_units = self.rate * for_ms as f64 / 1000.0;
+        self.stall_units_until = now + OFFSET_MS;
     }
 
-    /// Admits a request of `cost` units, or says when it may come back.
+    /// Admits a request of `cost` units, or returns when it can be retried.
     ///
-    /// A request that costs more than can be saved up is admitted once the
-    /// bucket is full.
+    /// A request that costs more than the burst is admitted once the bucket is
+    /// full.
     ///
     /// # Errors
     ///
-    /// What is missing, and when it will be there.
+    /// Returns the missing units, and the time until they are available.
     pub fn admit(
         &mut self,
         now: u64,
@@ -408,15 +431,15 @@
     ) -> Result<(), Shortage> {
         self.fill(now, allowance);
         let units = cost as f64;
-        let weight = if urgent { URGENT } else { 1.0 };
-        let large = (self.largeness(units) * weight).min(1.0);
-        // Into debt by as much as the request is small, and by no request
-        // further than the debt may be.
+        let weight = if urgent { URGENT_SIZE_FACTOR } else { 1.0 };
+        let size = (self.relative_size(units) * weight).min(1.0);
+        // A smaller request may go further into debt, but no request may
+        // exceed the permitted debt.
         let debt = allowance.debt();
-        let floor = (-debt * (1.0 - large)).max(units - debt);
-        let unseen = self.others_rate * allowance.lag_ms;
+        let floor = (-debt * (1.0 - size)).max(units - debt);
+        let unseen = self.peers_rate * allowance.lag_ms;
         let need = (floor + unseen).min(allowance.burst);
-        let shortage = |wait_ms: u64, paced| Shortage {
+        let new_shortage = |wait_ms: u64, paced| Shortage {
             wait_ms,
             level: self.level as i64,
             need: need as i64,
@@ -425,37 +448,39 @@
         };
         if self.level < need {
             let rate = (allowance.rate * allowance.heard).max(1.0);
-            let wait = (need - self.level) / rate * 1000.0;
-            let short = shortage((wait as u64).clamp(1, 60_000), false);
-            self.pace.until = now + PACED_MS;
-            return Err(short);
+            let wait_ms = (need - self.level) / rate * 1000.0;
+            let shortage =
+                new_shortage((wait_ms as u64).clamp(1, 60_000), false);
+            self.pace.until = now + PACING_MS;
+            return Err(shortage);
         }
         if (allowance.is_paced() || self.is_joining)
-            && let Err(wait) = self.pace.check(now, allowance, units, large)
+            && let Err(wait_ms) = self.pace.check(now, allowance, units, size)
         {
-            let short = shortage(wait, true);
-            self.pace.until = now + PACED_MS;
-            return Err(short);
+            let shortage = new_shortage(wait_ms, true);
+            self.pace.until = now + PACING_MS;
+            return Err(shortage);
         }
         self.pace.take(now, units);
         self.level -= units;
-        self.own += cost;
+        self.own_total += cost;
         Ok(())
     }
 
-    /// How large a request is among this team's; at 1 it is large.
-    fn largeness(&mut self, units: f64) -> f64 {
-        if self.size == 0.0 {
-            self.size = units;
+    /// Returns the size of a request relative to the team's other requests;
+    /// from 1 on it is large.
+    fn relative_size(&mut self, units: f64) -> f64 {
+        if self.mean_size == 0.0 {
+            self.mean_size = units;
         }
-        self.size += (units - self.size) * SIZE_SHARE;
-        units / (self.size * LARGE).max(1.0)
+        self.mean_size += (units - self.mean_size) * MEAN_SIZE_WEIGHT;
+        units / (self.mean_size * LARGE_SIZE_RATIO).max(1.0)
     }
 
-    /// Gives back what a request did not use because it did not run.
+    /// Returns the units of a request that did not run to the bucket.
     pub fn give_back(&mut self, cost: u64) {
         self.level += cost as f64;
-        self.own = self.own.saturating_sub(cost);
+        self.own_total = self.own_total.saturating_sub(cost);
     }
 
     fn fill(&mut self, now: u64, allowance: Allowance) {
@@ -463,40 +488,41 @@
         self.lag_ms = allowance.lag_ms;
         if now >= self.settled_at() {
             self.is_joining = false;
-            self.known_rate = None;
+            self.learned_rate = None;
         }
         self.pace.is_joining = self.is_joining;
-        let passed = now.saturating_sub(self.filled_at) as f64 / 1000.0;
+        let elapsed_s = now.saturating_sub(self.filled_at) as f64 / 1000.0;
         self.filled_at = now;
-        if passed > 0.0 {
-            let passed_ms = passed * 1000.0;
-            let share = 1.0 - (-passed_ms / RATE_MS).exp();
-            let told = std::mem::take(&mut self.told);
-            let told = match self.known_rate {
-                Some(rate) => rate * passed_ms,
-                None => told,
+        if elapsed_s > 0.0 {
+            let elapsed_ms = elapsed_s * 1000.0;
+            let weight = 1.0 - (-elapsed_ms / USE_AVERAGING_MS).exp();
+            let reported = std::mem::take(&mut self.reported);
+            let peers_used = match self.learned_rate {
+                Some(rate) => rate * elapsed_ms,
+                None => reported,
             };
-            if self.known_rate.is_some() {
-                self.level -= told;
+            if self.learned_rate.is_some() {
+                self.level -= peers_used;
             }
-            self.others_rate += (told / passed_ms - self.others_rate) * share;
-            self.pace.pass(passed_ms, told, allowance);
+            self.peers_rate +=
+                (peers_used / elapsed_ms - self.peers_rate) * weight;
+            self.pace.advance(elapsed_ms, peers_used, allowance);
         }
-        if now >= self.left_out_until {
-            self.left_out = 0.0;
+        if now >= self.withheld_until {
+            self.withheld = 0.0;
         }
-        if now >= self.stood_until {
-            self.level += std::mem::take(&mut self.stood);
+        if now >= self.stall_units_until {
+            self.level += std::mem::take(&mut self.stall_units);
         }
         if allowance.heard < 1.0 {
             let missing = allowance.rate * (1.0 - allowance.heard);
-            self.left_out += missing * passed;
-            self.left_out_until = now + HEAL_MS;
+            self.withheld += missing * elapsed_s;
+            self.withheld_until = now + OFFSET_MS;
         }
         let rate = match self.is_joining {
             true => self.pace.rate(allowance) * 1000.0,
             false => allowance.rate * allowance.heard,
         };
-        self.level = (self.level + rate * passed).min(allowance.burst);
+        self.level = (self.level + rate * elapsed_s).min(allowance.burst);
     }
 }
