--- a/src/gateway/events.rs
+++ b/src/gateway/events.rs
@@ -1,93 +1,95 @@
-//! Streams of events, cut where an event ends.
+//! Splits event streams at event boundaries.
 //!
-//! A replica may stop anywhere, also in the middle of an event. Only whole
-//! events go on to the client, so that a stream that is resumed elsewhere
-//! goes on exactly behind the last one, with none missing and none doubled.
+//! A replica may stop in the middle of an event. Only whole events are
+//! forwarded to the caller, so that a stream that is resumed at another
+//! replica continues exactly after the last forwarded event, without a missing
+//! or duplicate event.
 
 use bytes::{Bytes, BytesMut};
 
-/// The longest event that is waited for, in bytes. A stream without an end
-/// of an event in so many bytes is no stream of events.
-const LONGEST: usize = 256 * 1024;
+/// Maximum size of an event, in bytes. A longer run of bytes without the end
+/// of an event is not an event stream.
+const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// Collects a stream's bytes until events are whole.
+/// Buffers a stream's bytes until events are complete.
 #[derive(Debug, Default)]
 pub struct Splitter {
-    rest: BytesMut,
+    buffer: BytesMut,
     last: Option<u64>,
 }
 
-/// A stream that can't be passed on.
+/// Why a stream can't be forwarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Spoiled {
-    /// An event without an end.
+pub enum Error {
+    /// An event is longer than the maximum.
     TooLong,
-    /// An event came twice, or one is missing.
+    /// An event's id is not greater than the id before it.
     OutOfOrder {
-        /// The last id that was passed on.
+        /// The id before it.
         last: u64,
-        /// The id that came.
-        came: u64,
+        /// The event's id.
+        received: u64,
     },
 }
 
 impl Splitter {
-    /// Starts behind the event with the id `last`, if there was one.
+    /// Creates a splitter for a stream that continues after the event with the
+    /// id `last`, if any.
     pub fn open(last: Option<u64>) -> Splitter {
-        Splitter { rest: BytesMut::new(), last }
+        Splitter { buffer: BytesMut::new(), last }
     }
 
-    /// The id of the last whole event.
+    /// Returns the id of the last whole event.
     pub fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// True when the stream stands between two events.
+    /// Returns true when no part of an event is buffered.
     pub fn is_between_events(&self) -> bool {
-        self.rest.is_empty()
+        self.buffer.is_empty()
     }
 
-    /// Takes bytes; gives the whole events that are there now.
+    /// Adds bytes and returns the events that are complete now.
     ///
     /// # Errors
     ///
-    /// When ids do not grow, or an event has no end.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, Spoiled> {
-        // An end can stand across the border to the bytes before.
-        let searched = self.rest.len().saturating_sub(3);
-        self.rest.extend_from_slice(bytes);
-        let Some(end) = last_end(&self.rest, searched) else {
-            return match self.rest.len() > LONGEST {
-                true => Err(Spoiled::TooLong),
+    /// Returns an error when ids do not increase or an event is too long.
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, Error> {
+        // The end of an event may span the previous bytes and these.
+        let searched = self.buffer.len().saturating_sub(3);
+        self.buffer.extend_from_slice(bytes);
+        let Some(end) = end_of_last_event(&self.buffer, searched) else {
+            return match self.buffer.len() > MAX_EVENT_BYTES {
+                true => Err(Error::TooLong),
                 false => Ok(Bytes::new()),
             };
         };
-        let whole = self.rest.split_to(end).freeze();
+        let whole = self.buffer.split_to(end).freeze();
         self.check_ids(&whole)?;
         Ok(whole)
     }
 
-    fn check_ids(&mut self, events: &[u8]) -> Result<(), Spoiled> {
+    fn check_ids(&mut self, events: &[u8]) -> Result<(), Error> {
         for line in events.split(|byte| *byte == b'\n') {
-            let Some(came) = id_of(line) else { continue };
+            let Some(received) = id_of(line) else { continue };
             if let Some(last) = self.last
-                && came <= last
+                && received <= last
             {
-                return Err(Spoiled::OutOfOrder { last, came });
+                return Err(Error::OutOfOrder { last, received });
             }
-            self.last = Some(came);
+            self.last = Some(received);
         }
         Ok(())
     }
 }
 
-/// Where the last whole event ends, looking only behind `from`.
-fn last_end(bytes: &[u8], from: usize) -> Option<usize> {
+/// Returns where the last whole event ends, searching from `from` on.
+fn end_of_last_event(bytes: &[u8], from: usize) -> Option<usize> {
     (from..bytes.len()).rev().find_map(|at| {
         let rest = &bytes[at..];
-        let unix = rest.starts_with(b"\n\n");
-        let other = rest.starts_with(b"\r\n\r\n");
-        match (unix, other) {
+        let is_lf = rest.starts_with(b"\n\n");
+        let is_crlf = rest.starts_with(b"\r\n\r\n");
+        match (is_lf, is_crlf) {
             (true, _) => Some(at + 2),
             (_, true) => Some(at + 4),
             _ => None,
