--- a/src/gateway/parts.rs
+++ b/src/gateway/parts.rs
@@ -1,18 +1,19 @@
-//! Prompts that come in parts, as blocks of the router's index.
+//! Maps prompts that are made of parts to blocks of the router's index.
 //!
-//! A caller names the parts of its prompt in order, with their tokens. Requests
-//! share parts; so what stands for a part covers all before it too.
+//! A caller lists the parts of its prompt in order, with the tokens of each.
+//! Requests may share leading parts, so the hash of a part also covers all
+//! parts before it.
 
 use crate::wire::Cached;
 
-/// Prompt tokens in a block of the router's index. Coarse: prompts here come
-/// in parts of hundreds to thousands of tokens.
+/// Prompt tokens in a block of the router's index. Blocks are coarse because
+/// the parts of prompts have hundreds to thousands of tokens.
 pub const BLOCK_TOKENS: u32 = 512;
 
-/// The blocks of a prompt that comes in parts.
+/// Returns the blocks of a prompt that is made of parts.
 ///
 /// Each block's hash covers all parts up to its own, so two prompts share a
-/// block exactly when they share everything before it too.
+/// block exactly when they also share everything before it.
 pub fn blocks_of(parts: &[(u64, u32)]) -> Vec<u64> {
     paths_of(parts)
         .flat_map(|(path, tokens)| {
@@ -21,7 +22,7 @@
         .collect()
 }
 
-/// Tokens up to the end of each of the blocks that [`blocks_of`] gives.
+/// Returns the number of tokens up to the end of each block of [`blocks_of`].
 pub fn ends_of(parts: &[(u64, u32)]) -> Vec<u32> {
     let mut ends = Vec::new();
     let mut before = 0;
@@ -41,7 +42,8 @@
     (0..cached.blocks).map(|at| block(cached.path, at)).collect()
 }
 
-/// What stands for each part and all before it, with the part's tokens.
+/// Returns for each part a hash of it and all parts before it, with the part's
+/// tokens.
 pub(super) fn paths_of(
     parts: &[(u64, u32)],
 ) -> impl Iterator<Item = (u64, u32)> {
