--- a/src/gateway/dialect.rs
+++ b/src/gateway/dialect.rs
@@ -1,98 +1,99 @@
-//! How a platform's clients and replicas write what a gateway has to know.
+//! The headers that a gateway interprets, in the form of one platform.
 //!
-//! A gateway routes by host and path and passes messages on as they are; only
-//! some headers mean something to it. Their names and forms are a platform's
-//! own, so a [`Dialect`] reads them once into these types, and writes those
-//! that the gateway sets.
+//! A gateway routes by host and path and forwards messages unchanged. It
+//! interprets only a few headers. Their names and formats depend on the
+//! platform, so a [`Dialect`] parses them into these types and writes the
+//! headers that the gateway sets.
 
 use http::{HeaderMap, HeaderValue, StatusCode};
 
 use crate::util::common;
 
 common! {
-    /// What a request's headers say.
+    /// What a caller's request headers contain.
     pub struct Asked {
-        /// Echoed by replicas; tells answers apart.
+        /// Request id. Replicas echo it, which matches answers to requests.
         pub id: Option<HeaderValue>,
-        /// How long the client waits, in ms.
+        /// How long the caller waits, in ms.
         pub deadline_ms: Option<u64>,
-        /// Names the team.
+        /// API key, which identifies the team.
         pub key: Option<String>,
-        /// Prompt tokens and the most tokens of answer.
+        /// Number of prompt tokens and maximum number of answer tokens.
         pub tokens: Option<(u64, u64)>,
-        /// The parts of the prompt in order: what tells each apart, and its
-        /// tokens.
+        /// The parts of the prompt in order, as id and number of tokens.
         pub parts: Vec<(u64, u32)>,
-        /// The event after which a stream goes on.
+        /// Id of the event after which the stream resumes.
         pub last_event: Option<u64>,
     }
 }
 
 impl Asked {
-    /// Names what the prompt may share with others: all but its own part.
+    /// Returns the id of the last part that other prompts may share, 0 if
+    /// there is none. The last part of a prompt is its own.
     pub fn prefix(&self) -> u64 {
         self.parts.iter().rev().nth(1).map_or(0, |(part, _)| *part)
     }
 }
 
 common! {
-    /// What a gateway tells a replica beside the client's own headers.
+    /// What a gateway sends to a replica in addition to the caller's headers.
     pub struct Sending<'a> {
         /// The only replica that may run the request.
         pub replica: &'a str,
-        /// Whose request it is.
+        /// The team that the request belongs to.
         pub team: Option<&'a str>,
-        /// How long the answer is waited for, in ms.
+        /// How long the gateway waits for the answer, in ms.
         pub deadline_ms: u64,
-        /// From 0, the most urgent, to 9.
+        /// Urgency, from 0 (most urgent) to 9.
         pub urgency: Option<u8>,
         /// Another replica that has more of the prompt in its cache.
         pub fetch_from: Option<std::net::SocketAddrV4>,
-        /// The event after which the stream goes on here.
+        /// Id of the event after which the stream resumes at this replica.
         pub last_event: Option<u64>,
     }
 }
 
 common! {
-    /// What the head of a replica's answer says.
+    /// What the head of a replica's answer contains.
     pub struct Answered {
-        /// The replica says that it did not run the request.
+        /// True when the replica declares that it did not run the request.
         pub not_run: bool,
-        /// Another replica has this address now.
+        /// True when another replica has this address now.
         pub wrong_replica: bool,
         /// False when the answer belongs to another request.
         pub matches: bool,
-        /// Requests running and waiting there.
+        /// Requests running and queued at the replica.
         pub load: Option<u32>,
-        /// How long the replica keeps an idle connection, in ms.
+        /// How long the replica keeps an idle connection open, in ms.
         pub keep_ms: Option<u64>,
-        /// The rate of requests that it takes.
+        /// The rate limit that the replica announces.
         pub limit: Limit,
     }
 }
 
 common! {
-    /// What an answer says of the rate of requests that its replica takes.
+    /// The rate limit in the head of a replica's answer.
     #[derive(Copy)]
     pub enum Limit {
-        /// Any.
+        /// The replica has no rate limit.
         None,
-        /// So many requests a second from all nodes together.
+        /// Limit in requests a second, for all nodes together.
         PerSecond(f32),
-        /// Something that can't be read: what was known before holds.
+        /// The header can't be parsed, and the previous limit stays in force.
         Unreadable,
     }
 }
 
 /// Reads and writes the headers of one platform.
 pub trait Dialect: Send + Sync + 'static {
-    /// Reads a request's headers. What can't be read counts as not there.
+    /// Parses a request's headers. Headers that can't be parsed are ignored.
     fn read(&self, headers: &HeaderMap) -> Asked;
 
-    /// Removes what clients may not set, and sets what the gateway does.
+    /// Removes the headers that callers may not set, and sets those that the
+    /// gateway sends to a replica.
     fn write(&self, headers: &mut HeaderMap, sending: &Sending<'_>);
 
-    /// Reads the head of an answer to a request with the id `asked`.
+    /// Parses the head of an answer to a request with the id `asked`.
     fn judge(
         &self,
         asked: Option<&HeaderValue>,
