--- a/src/gateway/flight.rs
+++ b/src/gateway/flight.rs
@@ -1,4 +1,4 @@
-//! A request under way at a replica, as the router counts it.
+//! An attempt in flight at a replica, as the router counts it.
 
 use std::sync::Arc;
 
@@ -10,28 +10,29 @@
     forward::Work,
 };
 
-/// A replica that has said nothing to a request for so long when that is given
-/// up may have ended, in ms: beyond the pauses that an engine makes.
-const SILENT_MS: u64 = 1000;
+/// Silence on an abandoned attempt after which its replica may have crashed,
+/// in ms: longer than the pauses that an engine makes.
+const CRASH_SUSPICION_SILENCE_MS: u64 = 1000;
 
-/// A request under way at a replica; counted until dropped.
+/// An attempt in flight at a replica, counted until dropped.
 pub(super) struct Flight {
     gateway: Arc<Gateway>,
     service: String,
     target: Target,
     fingerprint: u64,
     began_at: u64,
-    /// When something last came of it.
+    /// When data of the answer last arrived, or the attempt began, in ms.
     heard_at: u64,
-    started: bool,
-    /// An answer that is whole proves that its replica has survived it.
-    proves: bool,
-    /// What it will have ended as when it is dropped.
+    has_started: bool,
+    /// True when a complete answer proves that the replica survived the
+    /// request.
+    proves_survival: bool,
+    /// The outcome that is counted on drop.
     pub end: End,
 }
 
 impl Flight {
-    /// Counts it from here on.
+    /// Starts an attempt at `target`.
     pub fn begin(work: &Work, target: &Target) -> Flight {
         Flight {
             gateway: work.gateway.clone(),
@@ -40,32 +41,34 @@
             fingerprint: work.fingerprint,
             began_at: work.now(),
             heard_at: work.now(),
-            started: false,
-            proves: false,
-            // Dropped on the way when the client has left.
+            has_started: false,
+            proves_survival: false,
+            // The outcome when the caller disconnects and the attempt is
+            // dropped.
             end: End::Left,
         }
     }
 
-    /// The answer began.
+    /// Notes that the answer has begun.
     ///
-    /// `proves` is set where its end will show that the replica lived on: a
-    /// failure may come before it has run, and an answer without a length
-    /// looks whole when its replica ends.
-    pub fn began(&mut self, answered: &Answered, proves: bool) {
-        self.started = true;
-        self.proves = proves;
+    /// `proves` is true when a complete answer will prove that the replica
+    /// survived the request. An error answer may be sent before the request
+    /// runs, and an answer without a length looks complete when its replica
+    /// crashes.
+    pub fn began(&mut self, answered: &Answered, proves_survival: bool) {
+        self.has_started = true;
+        self.proves_survival = proves_survival;
         let now = self.gateway.timer.now();
         self.heard_at = now;
         let mut fleet = self.gateway.fleet();
         fleet.began(now, &self.service, &self.target, answered.load);
     }
 
-    /// The answer was read to its end.
+    /// Notes that the answer was read to its end.
     pub fn finish(&mut self, failure: bool) {
         let now = self.gateway.timer.now();
         let held_ms = now.saturating_sub(self.began_at) as u32;
-        if self.proves && !failure {
+        if self.proves_survival && !failure {
             self.gateway.note_success(self.fingerprint);
         }
         self.end = match failure {
@@ -74,7 +77,7 @@
         };
     }
 
-    /// Something came.
+    /// Notes that data of the answer has arrived.
     pub fn progress(&mut self) {
         let now = self.gateway.timer.now();
         self.heard_at = now;
@@ -82,12 +85,12 @@
         self.gateway.fleet().progress(now, &self.service, ticket);
     }
 
-    /// When it was begun, in ms.
+    /// Returns when the attempt began, in ms.
     pub fn began_at(&self) -> u64 {
         self.began_at
     }
 
-    /// The replica.
+    /// Returns the id of the replica.
     pub fn replica(&self) -> &str {
         &self.target.replica
     }
@@ -98,11 +101,13 @@
         let now = self.gateway.timer.now();
         let ticket = self.target.ticket;
         let mut fleet = self.gateway.fleet();
-        fleet.end(now, &self.service, ticket, self.started, self.end);
+        fleet.end(now, &self.service, ticket, self.has_started, self.end);
         drop(fleet);
         let sign = match self.end {
             End::Broken => Sign::Broken,
-            End::Failed | End::Left if now >= self.heard_at + SILENT_MS => {
+            End::Failed | End::Left
+                if now >= self.heard_at + CRASH_SUSPICION_SILENCE_MS =>
+            {
                 Sign::Silent
             }
             _ => return,
