--- a/src/gateway/accept.rs
+++ b/src/gateway/accept.rs
@@ -130,7 +130,7 @@
     route: &Route,
     asked: &Asked,
 ) -> Result<Option<&'a Team>, Refusal> {
-    if route.public || !plan.asks_for_keys() {
+    if route.public || !plan.requires_keys() {
         return Ok(None);
     }
     let team = asked.key.as_deref().and_then(|key| plan.team(key));
--- a/src/gateway/plan.rs
+++ b/src/gateway/plan.rs
@@ -1,8 +1,8 @@
-//! What operators tell a gateway: routes, services, teams, limits.
+//! The configuration of a gateway: routes, services, teams and limits.
 //!
-//! A [`Plan`] is the product's own form of it. It is checked as a whole by
-//! [`Plan::check`]; one that is refused is refused with every reason at once.
-//! After that, lookups can't fail for a reason inside the plan.
+//! A [`Plan`] is the product's own form of the configuration.
+//! [`Plan::check`] validates it as a whole and reports all faults at once, so
+//! lookups in a plan can't fail because of the plan itself.
 
 use std::fmt;
 
@@ -10,53 +10,53 @@
 
 common! {
     copy
-    /// What may be repeated.
+    /// Which retries a route allows, and whether its answers are streams.
     pub enum Repeat {
         /// A request may run more than once.
         Idempotent,
         /// A request may run at most once.
         Once,
-        /// As [`Repeat::Once`], and the answer is a stream of events.
+        /// As [`Repeat::Once`], and the answer is an event stream.
         Stream,
-        /// A stream that can go on at another replica after its last event.
+        /// An event stream that another replica can resume after any event.
         Resumable,
     }
 }
 
 impl Repeat {
-    /// True when a request that may have run can be sent again.
+    /// Returns true when a request that may have run can be sent again.
     pub fn is_repeatable(self) -> bool {
         matches!(self, Repeat::Idempotent | Repeat::Resumable)
     }
 
-    /// True when the answer is a stream of events.
+    /// Returns true when the answer is an event stream.
     pub fn is_stream(self) -> bool {
         matches!(self, Repeat::Stream | Repeat::Resumable)
     }
 }
 
 common! {
-    /// Where requests of one host and path prefix go.
+    /// How requests for one host and path prefix are handled.
     pub struct Route {
-        /// For people.
+        /// Name, for operators and logs.
         pub name: String,
-        /// Lower case, without a port.
+        /// Host in lower case, without a port.
         pub host: String,
-        /// Begins and ends with a slash.
+        /// Path prefix, with a slash at both ends.
         pub prefix: String,
-        /// What may be repeated.
+        /// Which retries are allowed.
         pub repeat: Repeat,
-        /// The longest that a request is kept, in ms.
+        /// Time after which a request fails, in ms.
         pub timeout_ms: u64,
-        /// Answers within this time count in full, in ms.
+        /// Time within which an answer counts in full, in ms.
         pub target_ms: u64,
-        /// 0 is the most urgent.
+        /// Priority; 0 is the most urgent.
         pub priority: u32,
-        /// Services with their weights; one of them per request.
+        /// Services with their weights. Each request goes to one of them.
         pub split: Vec<(String, u64)>,
-        /// Replicas that may run one request at most.
+        /// Maximum number of replicas that may run one request.
         pub attempts: u32,
-        /// No key is asked for.
+        /// True when requests need no key.
         pub public: bool,
     }
 }
@@ -64,87 +64,89 @@
 common! {
     /// How an engine's replicas are bought.
     pub struct Scaling {
-        /// Replicas of each data centre, at least.
+        /// Minimum number of replicas in each data centre.
         pub least: u32,
-        /// Replicas of each data centre, at most.
+        /// Maximum number of replicas in each data centre.
         pub most: u32,
-        /// From the order until they serve, in ms.
+        /// Time from the order of a replica until it serves, in ms.
         pub boot_ms: u64,
-        /// A reclaimable replica's part of the full price; `None` when there
-        /// are none.
+        /// Price of a reclaimable replica as a fraction of the full price;
+        /// `None` when there are no reclaimable replicas.
         pub spot_price: Option<f64>,
-        /// Price of a replica in each data centre, sorted by name.
+        /// Price of a replica in each data centre, sorted by data centre.
         pub prices: Vec<(String, f64)>,
     }
 }
 
 common! {
-    /// A set of replicas that run the same thing.
+    /// A set of interchangeable replicas.
     pub struct Service {
-        /// What replicas call it.
+        /// Name that replicas announce.
         pub name: String,
-        /// Connections that a replica takes from all callers together; 0 for
-        /// no limit.
+        /// Maximum number of connections to a replica, from all callers
+        /// together; 0 for no limit.
         pub connections: u32,
-        /// Requests that a replica runs at a time, if it is an engine.
+        /// Number of requests that a replica runs at a time; `None` if it is
+        /// not an engine.
         pub batch: Option<u32>,
-        /// Tokens that an engine keeps in its cache.
+        /// Capacity of an engine's prompt cache, in tokens.
         pub cache_tokens: u64,
-        /// Tokens that one event of a stream holds, as a rule.
+        /// Usual number of tokens in one event of a stream.
         pub tokens_per_event: u32,
-        /// Milliseconds in which a replica fetches a cached token of a prompt
-        /// from another one; `None` where it can't.
+        /// Time in which a replica fetches one cached token of a prompt from
+        /// another replica, in ms; `None` if it can't fetch.
         pub fetch_ms: Option<f32>,
-        /// Set where replicas are bought and released.
+        /// How replicas are bought and released, if they are.
         pub scaling: Option<Scaling>,
     }
 }
 
 common! {
-    /// Who sends requests.
+    /// A customer, identified by its API keys.
     pub struct Team {
-        /// What replicas are told.
+        /// Name, which is also sent to replicas.
         pub name: String,
-        /// Any of these names the team.
+        /// API keys, each of which identifies the team.
         pub keys: Vec<String>,
-        /// Goes before the route's.
+        /// Priority that overrides the route's.
         pub priority: Option<u32>,
-        /// Set when the team's use is limited.
+        /// Limit on the team's usage, if any.
         pub quota: Option<Quota>,
     }
 }
 
 common! {
     copy
-    /// How much a team may use, over all entries together.
+    /// Limit on a team's usage, over all entries together.
     pub struct Quota {
-        /// Units each second.
+        /// Units that are added each second.
         pub rate: u64,
-        /// Units that may be saved up.
+        /// Maximum number of unused units.
         pub burst: u64,
-        /// What one request counts for when it names no tokens; `None` when
-        /// every request counts for one.
+        /// Cost in tokens of a request that announces no tokens; `None` if the
+        /// quota counts requests, each of which costs 1.
         pub plain_tokens: Option<u64>,
     }
 }
 
 common! {
     copy
-    /// What a caller may send, and how slowly.
+    /// Limits on the size and the duration of a caller's request.
     pub struct Limits {
-        /// Bytes of a request's head.
+        /// Maximum size of a request's head, in bytes.
         pub head_bytes: usize,
-        /// Bytes of a request's body.
+        /// Maximum size of a request's body, in bytes.
         pub body_bytes: usize,
-        /// For a whole head, in ms.
+        /// Timeout for receiving a whole head, in ms.
         pub head_ms: u64,
-        /// Between two requests on a connection, in ms.
+        /// Maximum idle time between two requests on a connection, in ms.
         pub idle_ms: u64,
     }
 }
 
 impl Default for Limits {
-    /// For an entry that has no plan yet: those of the first users.
+    /// Returns the limits of an entry that has no plan yet: those of the first
+    /// users.
     fn default() -> Limits {
         Limits {
             head_bytes: 16 * 1024,
@@ -155,7 +157,7 @@
     }
 }
 
-/// Everything that the operators say, checked.
+/// A validated configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     version: u64,
@@ -165,32 +167,32 @@
     services: Vec<Service>,
     /// Sorted by name.
     teams: Vec<Team>,
-    /// Key and place of its team, sorted by key.
+    /// Keys, each with the index of its team, sorted by key.
     keys: Vec<(String, usize)>,
     limits: Limits,
 }
 
-/// A plan as it was written, before it is checked.
+/// A plan that has not been validated.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Draft {
-    /// The operators' number.
+    /// Version number that the operators assign.
     pub version: u64,
-    /// In any order.
+    /// Routes, in any order.
     pub routes: Vec<Route>,
-    /// In any order.
+    /// Services, in any order.
     pub services: Vec<Service>,
-    /// In any order.
+    /// Teams, in any order.
     pub teams: Vec<Team>,
-    /// What callers may send.
+    /// Limits on callers' requests.
     pub limits: Limits,
 }
 
-/// Everything that is wrong with a plan.
+/// All faults of a plan.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Invalid(Vec<String>);
 
 impl Invalid {
-    /// A plan that could not be read at all.
+    /// Creates the error of a plan that can't be parsed.
     pub fn unreadable(text: impl fmt::Display) -> Invalid {
         Invalid(vec![format!("can't be read: {text}")])
     }
@@ -205,127 +207,135 @@
 impl std::error::Error for Invalid {}
 
 impl Plan {
-    /// Checks a draft.
+    /// Validates a draft.
     ///
     /// # Errors
     ///
-    /// Unknown services, two routes in one place, splits without weight,
-    /// timeouts of 0, prefixes without slashes, and keys or names that are
-    /// there twice.
+    /// Returns an error for version 0, unknown services, two routes with the
+    /// same host and prefix, splits without weight, timeouts of 0, prefixes
+    /// without slashes, keys of several teams, and duplicate names of services
+    /// or teams.
     pub fn check(draft: Draft) -> Result<Plan, Invalid> {
         let Draft { version, mut routes, mut services, mut teams, limits } =
             draft;
-        routes.sort_by(|one, other| place_of(one).cmp(&place_of(other)));
-        services.sort_by(|one, other| one.name.cmp(&other.name));
-        teams.sort_by(|one, other| one.name.cmp(&other.name));
-        let mut wrong = Vec::new();
+        routes.sort_by(|left, right| {
+            host_and_prefix(left).cmp(&host_and_prefix(right))
+        });
+        services.sort_by(|left, right| left.name.cmp(&right.name));
+        teams.sort_by(|left, right| left.name.cmp(&right.name));
+        let mut faults = Vec::new();
         if version == 0 {
-            wrong.push("version 0".to_owned());
+            faults.push("version 0".to_owned());
         }
         for pair in services.windows(2) {
             if pair[0].name == pair[1].name {
-                wrong.push(format!("service {} twice", pair[0].name));
+                faults.push(format!("service {} twice", pair[0].name));
             }
         }
         for pair in routes.windows(2) {
-            if place_of(&pair[0]) == place_of(&pair[1]) {
-                let (host, prefix) = place_of(&pair[0]);
-                wrong.push(format!("two routes for {host}{prefix}"));
+            if host_and_prefix(&pair[0]) == host_and_prefix(&pair[1]) {
+                let (host, prefix) = host_and_prefix(&pair[0]);
+                faults.push(format!("two routes for {host}{prefix}"));
             }
         }
         for route in &routes {
-            check_route(route, &services, &mut wrong);
+            check_route(route, &services, &mut faults);
         }
-        let keys = keys_of(&teams, &mut wrong);
-        if !wrong.is_empty() {
-            return Err(Invalid(wrong));
+        let keys = collect_keys(&teams, &mut faults);
+        if !faults.is_empty() {
+            return Err(Invalid(faults));
         }
         Ok(Plan { version, routes, services, teams, keys, limits })
     }
 
-    /// The operators' number.
+    /// Returns the version number that the operators assigned.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// All services, sorted by name.
+    /// Returns all services, sorted by name.
     pub fn services(&self) -> &[Service] {
         &self.services
     }
 
-    /// All routes, sorted by host and prefix.
+    /// Returns all routes, sorted by host and prefix.
     pub fn routes(&self) -> &[Route] {
         &self.routes
     }
 
-    /// All teams, sorted by name.
+    /// Returns all teams, sorted by name.
     pub fn teams(&self) -> &[Team] {
         &self.teams
     }
 
-    /// What callers may send.
+    /// Returns the limits on callers' requests.
     pub fn limits(&self) -> Limits {
         self.limits
     }
 
-    /// True when requests need a key, but for public routes.
-    pub fn asks_for_keys(&self) -> bool {
+    /// Returns true when requests need a key, except on public routes.
+    pub fn requires_keys(&self) -> bool {
         !self.teams.is_empty()
     }
 
-    /// The service of that name.
+    /// Returns the service with the given name.
     pub fn service(&self, name: &str) -> Option<&Service> {
-        let at = position(&self.services, name, |one| one.name.as_str());
+        let at =
+            position(&self.services, name, |service| service.name.as_str());
         at.ok().map(|at| &self.services[at])
     }
 
-    /// The route with the longest prefix that begins `path`.
+    /// Returns the route of `host` with the longest prefix of `path`.
     ///
     /// `host` is in lower case and has no port.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
-        // Every prefix ends with a slash: only as many lookups as the path
-        // has slashes, however many routes there are.
+        // Every prefix ends with a slash, so the number of lookups is the
+        // number of slashes in the path, independent of the number of routes.
         path.rmatch_indices('/').find_map(|(at, _)| {
-            let place = (host, &path[..=at]);
-            let found =
-                self.routes.binary_search_by(|one| place_of(one).cmp(&place));
+            let searched = (host, &path[..=at]);
+            let found = self.routes.binary_search_by(|route| {
+                host_and_prefix(route).cmp(&searched)
+            });
             found.ok().map(|at| &self.routes[at])
         })
     }
 
-    /// The team that holds a key.
+    /// Returns the team that a key belongs to.
     pub fn team(&self, key: &str) -> Option<&Team> {
         let at = position(&self.keys, key, |(key, _)| key.as_str()).ok()?;
         self.teams.get(self.keys[at].1)
     }
 }
 
-fn place_of(route: &Route) -> (&str, &str) {
+fn host_and_prefix(route: &Route) -> (&str, &str) {
     (&route.host, &route.prefix)
 }
 
-fn check_route(route: &Route, services: &[Service], wrong: &mut Vec<String>) {
+fn check_route(route: &Route, services: &[Service], faults: &mut Vec<String>) {
     let name = &route.name;
     if !route.prefix.starts_with('/') || !route.prefix.ends_with('/') {
-        wrong.push(format!(
+        faults.push(format!(
             "route {name}: prefix {:?} needs a slash at both ends",
             route.prefix
         ));
     }
     if route.timeout_ms == 0 {
-        wrong.push(format!("route {name}: timeout 0"));
+        faults.push(format!("route {name}: timeout 0"));
     }
     if route.split.iter().all(|(_, weight)| *weight == 0) {
-        wrong.push(format!("route {name}: weights add up to 0"));
+        faults.push(format!("route {name}: weights add up to 0"));
     }
     for (service, _) in &route.split {
-        if position(services, service, |one| &one.name).is_err() {
-            wrong.push(format!("route {name}: unknown service {service:?}"));
+        if position(services, service, |service| &service.name).is_err() {
+            faults.push(format!("route {name}: unknown service {service:?}"));
         }
     }
 }
 
-fn keys_of(teams: &[Team], wrong: &mut Vec<String>) -> Vec<(String, usize)> {
+fn collect_keys(
+    teams: &[Team],
+    faults: &mut Vec<String>,
+) -> Vec<(String, usize)> {
     let mut keys: Vec<(String, usize)> = teams
         .iter()
         .enumerate()
@@ -337,7 +347,7 @@
     for pair in keys.windows(2) {
         if pair[0].0 == pair[1].0 && pair[0].1 != pair[1].1 {
             let names = [pair[0].1, pair[1].1].map(|at| &teams[at].name);
-            wrong.push(format!(
+            faults.push(format!(
                 "teams {} and {} share a key",
                 names[0], names[1]
             ));
@@ -345,7 +355,7 @@
     }
     for pair in teams.windows(2) {
         if pair[0].name == pair[1].name {
-            wrong.push(format!("team {} twice", pair[0].name));
+            faults.push(format!("team {} twice", pair[0].name));
         }
     }
     keys
