--- a/src/gateway/accept.rs
+++ b/src/gateway/accept.rs
@@ -1,4 +1,4 @@
-//! What is checked of a request before any replica is asked.
+//! Checks that a request passes before it is sent to a replica.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,7 +10,7 @@
 
 use super::{
     Gateway,
-    bodies::Share,
+    bodies::Reservation,
     dialect::Asked,
     forward::{Attempts, Work},
     plan::{Limits, Plan, Route, Team},
@@ -18,19 +18,20 @@
 };
 use crate::fingerprint;
 
-/// The longest that a client may pause within a body.
-const BODY_PAUSE: Duration = Duration::from_millis(3000);
-/// When to come back to an entry whose memory for bodies is taken, in ms:
-/// about what the requests that have it take.
-const NO_ROOM_MS: u64 = 500;
-/// When to come back to an entry that has no plan yet, in ms.
-const NO_PLAN_MS: u64 = 300;
+/// Maximum time that a caller may pause within a body.
+const BODY_FRAME_TIMEOUT: Duration = Duration::from_millis(3000);
+/// Retry delay sent to callers while the memory for bodies is used up, in ms:
+/// about the duration of the requests that hold the memory.
+const BODY_MEMORY_RETRY_AFTER_MS: u64 = 500;
+/// Retry delay sent to callers while the entry has no plan, in ms.
+const NO_PLAN_RETRY_AFTER_MS: u64 = 300;
 
-/// Checks a request, reads its body and counts it towards its team's quota.
+/// Checks a request, reads its body and charges its team's quota.
 ///
 /// # Errors
 ///
-/// A refusal, at the first thing that is wrong. Nothing was sent anywhere.
+/// Returns a refusal for the first check that fails. Nothing has been sent to
+/// a replica then.
 pub(super) async fn accept(
     gateway: &Arc<Gateway>,
     request: Request<Incoming>,
@@ -38,13 +39,16 @@
     began: Instant,
 ) -> Result<Work, Refusal> {
     let host = host_of(&request)?;
-    let look = || {
-        let held = gateway.plan.read();
-        held.is_some().then_some(held)
+    let read_plan = || {
+        let current_plan = gateway.plan.read();
+        current_plan.is_some().then_some(current_plan)
     };
-    let held = gateway.wait_at_start(look).await;
-    let Some(plan) = held.as_deref().and_then(Option::as_ref) else {
-        return Err(Refusal::later("no plan here yet", NO_PLAN_MS));
+    let current_plan = gateway.wait_at_start(read_plan).await;
+    let Some(plan) = current_plan.as_deref().and_then(Option::as_ref) else {
+        return Err(Refusal::later(
+            "no plan here yet",
+            NO_PLAN_RETRY_AFTER_MS,
+        ));
     };
     let path = request.uri().path();
     let Some(route) = plan.route(&host, path) else {
@@ -60,8 +64,8 @@
     let (route, team) = (route.clone(), team.cloned());
     let limits = plan.limits();
     let (head, body) = request.into_parts();
-    let mut room = gateway.bodies.share();
-    let body = read_body(body, limits, deadline, &mut room).await?;
+    let mut reservation = gateway.bodies.reserve();
+    let body = read_body(body, limits, deadline, &mut reservation).await?;
     let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
     let fingerprint = fingerprint::of(&[
         head.method.as_str().as_bytes(),
@@ -70,17 +74,18 @@
         team.as_ref().map_or("", |team| &team.name).as_bytes(),
         &body,
     ]);
-    let named = |refusal| Refusal { route: route.name.clone(), ..refusal };
-    gateway.keep_away(fingerprint, &service).map_err(named)?;
+    let with_route =
+        |refusal| Refusal { route: route.name.clone(), ..refusal };
+    gateway.keep_away(fingerprint, &service).map_err(with_route)?;
     if let Some(team) = &team
         && let Some(quota) = team.quota
     {
         let cost = cost_of(&asked, quota.plain_tokens);
         let urgent = route.priority == 0;
-        let knows = || gateway.knows_quota(&team.name).then_some(());
-        gateway.wait_at_start(knows).await;
+        let quota_known = || gateway.knows_quota(&team.name).then_some(());
+        gateway.wait_at_start(quota_known).await;
         let admitted = gateway.admit(&team.name, quota, cost, urgent);
-        admitted.map_err(named)?;
+        admitted.map_err(with_route)?;
     }
     Ok(Work {
         gateway: gateway.clone(),
@@ -90,10 +95,10 @@
         asked,
         method: head.method,
         path: path.to_owned(),
-        headers: passed_on(head.headers),
+        headers: remove_hop_by_hop_headers(head.headers),
         body,
         fingerprint,
-        _room: room,
+        _reservation: reservation,
         began,
         deadline,
         attempts: Attempts::default(),
@@ -102,24 +107,25 @@
     })
 }
 
-/// The host, in lower case and without a port.
+/// Returns the host in lower case and without a port.
 ///
-/// Two hosts, or one in the request line that differs, are refused: which of
-/// them counts would be decided differently here and further on.
+/// A request with several Host headers, or whose request line names another
+/// host, is refused: the gateway and the replica could each use a different
+/// one of the hosts.
 fn host_of(request: &Request<Incoming>) -> Result<String, Refusal> {
-    let wrong = |text| Refusal::broken(StatusCode::BAD_REQUEST, text);
-    let mut named = request.headers().get_all(header::HOST).iter();
-    let (Some(host), None) = (named.next(), named.next()) else {
-        return Err(wrong("needs one Host header"));
+    let bad_request = |text| Refusal::broken(StatusCode::BAD_REQUEST, text);
+    let mut hosts = request.headers().get_all(header::HOST).iter();
+    let (Some(host), None) = (hosts.next(), hosts.next()) else {
+        return Err(bad_request("needs one Host header"));
     };
-    let host = host.to_str().map_err(|_| wrong("unreadable Host"))?;
+    let host = host.to_str().map_err(|_| bad_request("unreadable Host"))?;
     if let Some(authority) = request.uri().authority()
         && !authority.as_str().eq_ignore_ascii_case(host)
     {
-        return Err(wrong("Host differs from the request line"));
+        return Err(bad_request("Host differs from the request line"));
     }
     if request.uri().path().is_empty() || request.method() == Method::CONNECT {
-        return Err(wrong("needs a path"));
+        return Err(bad_request("needs a path"));
     }
     let name = host.split(':').next().unwrap_or(host);
     Ok(name.to_ascii_lowercase())
@@ -138,7 +144,8 @@
     team.map(Some).ok_or(Refusal::wrong(status, "unknown key"))
 }
 
-/// What a request counts for towards a quota: tokens, or one.
+/// Returns the units of quota that a request costs: its tokens, or 1 where the
+/// quota counts requests.
 pub(super) fn cost_of(asked: &Asked, plain_tokens: Option<u64>) -> u64 {
     match (plain_tokens, asked.tokens) {
         (None, _) => 1,
@@ -147,12 +154,12 @@
     }
 }
 
-/// Reads a body to the end, within the limits and the memory for all bodies.
+/// Reads a body to the end, within the limits and the shared memory budget.
 async fn read_body(
     mut body: Incoming,
     limits: Limits,
     deadline: Instant,
-    room: &mut Share,
+    reservation: &mut Reservation,
 ) -> Result<Bytes, Refusal> {
     let too_long =
         || Refusal::broken(StatusCode::PAYLOAD_TOO_LARGE, "body too long");
@@ -161,7 +168,7 @@
     }
     let mut read = BytesMut::new();
     while !body.is_end_stream() {
-        let until = deadline.min(Instant::now() + BODY_PAUSE);
+        let until = deadline.min(Instant::now() + BODY_FRAME_TIMEOUT);
         let frame = match timeout_at(until, body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
             Ok(None) => break,
@@ -178,9 +185,9 @@
             if read.len() + data.len() > limits.body_bytes {
                 return Err(too_long());
             }
-            if !room.grow(read.len() + data.len()) {
+            if !reservation.grow(read.len() + data.len()) {
                 let text = "too many bodies at once";
-                let refusal = Refusal::later(text, NO_ROOM_MS);
+                let refusal = Refusal::later(text, BODY_MEMORY_RETRY_AFTER_MS);
                 return Err(Refusal { close: true, ..refusal });
             }
             read.extend_from_slice(&data);
@@ -189,17 +196,18 @@
     Ok(read.freeze())
 }
 
-/// Headers that concern one connection only are left out.
-pub(super) fn passed_on(mut headers: HeaderMap) -> HeaderMap {
-    let named: Vec<String> = headers
+/// Removes the headers that apply to a single connection (hop-by-hop headers).
+pub(super) fn remove_hop_by_hop_headers(mut headers: HeaderMap) -> HeaderMap {
+    let listed: Vec<String> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    for name in named {
-        // One may not name away what routing and framing go by.
+    for name in listed {
+        // A caller must not be able to remove the header that requests are
+        // routed by.
         if name != "host" {
             headers.remove(name.as_str());
         }
--- a/src/gateway/bodies.rs
+++ b/src/gateway/bodies.rs
@@ -1,47 +1,49 @@
-//! Memory for the bodies of all requests under way, together.
+//! A memory budget shared by the bodies of all requests in flight.
 //!
-//! A limit for each body is not enough: two thousand connections times a body
-//! of some megabytes is many times a VM's memory, and the process would be
-//! killed with all its requests. Bytes are counted as they arrive, so a
-//! client that only announces a long body takes nothing from the others.
+//! A limit for each body is not enough: two thousand connections with a body
+//! of some megabytes each need many times a VM's memory, and the process would
+//! be killed with all its requests. Bytes are counted as they arrive, so a
+//! caller that only announces a long body takes no memory from other callers.
 
 use std::sync::Arc;
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Bytes in one unit of the count.
-const UNIT: usize = 1024;
+/// Bytes that one semaphore permit stands for.
+const BYTES_PER_PERMIT: usize = 1024;
 
-/// What all bodies may take.
+/// The memory that all bodies together may take.
 #[derive(Debug)]
-pub struct Bodies {
+pub struct Budget {
     free: Arc<Semaphore>,
 }
 
-/// What one body takes, until dropped.
+/// The memory reserved for one body, released when dropped.
 #[derive(Debug)]
-pub struct Share {
+pub struct Reservation {
     free: Arc<Semaphore>,
     held: Option<OwnedSemaphorePermit>,
 }
 
-impl Bodies {
-    /// Room for so many bytes.
-    pub fn open(bytes: usize) -> Bodies {
-        Bodies { free: Arc::new(Semaphore::new(bytes / UNIT)) }
+impl Budget {
+    /// Creates a budget of `bytes`.
+    pub fn open(bytes: usize) -> Budget {
+        Budget { free: Arc::new(Semaphore::new(bytes / BYTES_PER_PERMIT)) }
     }
 
-    /// A share, of nothing yet.
-    pub fn share(&self) -> Share {
-        Share { free: self.free.clone(), held: None }
+    /// Returns an empty reservation, to be grown as the body arrives.
+    pub fn reserve(&self) -> Reservation {
+        Reservation { free: self.free.clone(), held: None }
     }
 }
 
-impl Share {
-    /// Makes room for `bytes` in all; false when there is none.
+impl Reservation {
+    /// Grows the reservation to `bytes` in total. Returns false, without a
+    /// change, when the budget does not allow it.
     pub fn grow(&mut self, bytes: usize) -> bool {
         let held = self.held.as_ref().map_or(0, |held| held.num_permits());
-        let more = bytes.div_ceil(UNIT).saturating_sub(held) as u32;
+        let more =
+            bytes.div_ceil(BYTES_PER_PERMIT).saturating_sub(held) as u32;
         let Ok(more) = self.free.clone().try_acquire_many_owned(more) else {
             return false;
         };
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -1,12 +1,13 @@
-//! One request, from its head to the answer.
+//! Forwards one request to replicas and returns the answer.
 //!
 //! ```text
 //! route, key → body → quota → replica → answer, or another replica
 //! ```
 //!
-//! A request goes to a second replica only if the first is known not to have
-//! run it, or if it may run twice; and only within the route's attempts, the
-//! retry budget and the deadline. `Attempts` is that rule.
+//! A request is sent to a second replica only if the first one is known not to
+//! have run it, or if the request may run twice. The route's maximum number of
+//! attempts, the retry budget and the deadline limit this further. `Attempts`
+//! implements the rule.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -22,8 +23,8 @@
 
 use super::{
     Gateway,
-    accept::{accept, cost_of, passed_on},
-    bodies::Share,
+    accept::{accept, cost_of, remove_hop_by_hop_headers},
+    bodies::Reservation,
     dialect::{Answered, Asked, Sending},
     fleet::{End, Target},
     flight::Flight,
@@ -32,7 +33,7 @@
     refusal::{Refusal, shown},
     relay,
     server::{Body, full},
-    upstream::{Failed, Fault, Line},
+    upstream::{Connection, Error, Fault},
 };
 use crate::{
     decide::route::Ask,
@@ -41,25 +42,28 @@
     verdict::Verdict,
 };
 
-/// Answers up to this many bytes are read to the end before any of it goes
-/// on, so that one that breaks off can still be asked for elsewhere.
-const WHOLE_ANSWER: u64 = 256 * 1024;
-/// A request that may be repeated is tried elsewhere when its replica has
-/// been silent for this many times the route's target.
-const SILENT_TARGETS: u32 = 3;
-/// The shortest silence that is taken for a fault, in ms.
-const LEAST_SILENCE_MS: u64 = 400;
-/// Replicas that may turn one request away, beside those that may run it.
-const TURNED_AWAY: u32 = 2;
-/// When to come back while no replica can be reached, in ms: about what it
-/// takes for a replica's failure or return to become known everywhere.
-const NO_REPLICA_MS: u64 = 500;
-/// Requests that stand in line are a second's worth at most.
-const LATER_MS: u64 = 400;
-/// The least urgent level there is.
-const LEAST_URGENT: u32 = 9;
-
-/// A request on its way.
+/// Maximum size of an answer that is read to its end before any of it is
+/// forwarded, in bytes. If such an answer breaks off, the request can still be
+/// retried at another replica.
+const MAX_BUFFERED_ANSWER_BYTES: u64 = 256 * 1024;
+/// Silence of a replica after which a repeatable request is retried at another
+/// replica, as a multiple of the route's target.
+const MAX_SILENCE_TARGETS: u32 = 3;
+/// Minimum silence that counts as a fault, in ms.
+const MIN_SILENCE_MS: u64 = 400;
+/// Maximum number of retries after replicas that did not run the request.
+/// Replicas that may have run it are limited separately.
+const MAX_NOT_RUN_RETRIES: u32 = 2;
+/// Retry delay sent to callers while no replica can be reached, in ms: about
+/// the time until all nodes know of a replica's failure or return.
+const NO_REPLICA_RETRY_AFTER_MS: u64 = 500;
+/// Retry delay sent to callers while all replicas are full, in ms. A replica's
+/// queue holds at most a second's worth of requests.
+const REPLICAS_FULL_RETRY_AFTER_MS: u64 = 400;
+/// The highest urgency value, which is the least urgent one.
+const MAX_URGENCY: u32 = 9;
+
+/// An accepted request, and the state of its attempts.
 pub(super) struct Work {
     pub gateway: Arc<Gateway>,
     pub route: Route,
@@ -67,50 +71,53 @@
     pub team: Option<Team>,
     pub asked: Asked,
     pub method: Method,
-    /// Path and query, as they came.
+    /// Path and query, as received.
     pub path: String,
     pub headers: HeaderMap,
     pub body: Bytes,
-    /// Names what is asked for; see [`fingerprint`].
+    /// Identifies what is requested; see [`fingerprint`].
     pub fingerprint: u64,
-    pub _room: Share,
+    pub _reservation: Reservation,
     pub began: Instant,
     pub deadline: Instant,
     pub attempts: Attempts,
-    /// The router's latest choice, for the log.
+    /// The router's latest choice, used for logging.
     pub chosen: Option<Target>,
     pub _running: Running,
 }
 
-/// Which replicas had a request, and whether it may go to one more.
+/// The failed attempts of a request, which decide whether there may be
+/// another.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Attempts {
-    /// Those that may have run it.
+    /// Number of replicas that may have run the request.
     pub ran: u32,
-    /// Those that turned it away.
-    pub turned_away: u32,
-    /// All of them, for the router.
+    /// Number of replicas that did not run it.
+    pub not_run: u32,
+    /// All of these replicas, which the router avoids.
     pub avoid: Vec<(String, u64)>,
 }
 
 impl Attempts {
-    /// Notes a replica that has been tried without success.
+    /// Records a failed attempt.
     pub fn note(&mut self, replica: &str, verdict: Verdict) {
         match verdict {
-            Verdict::NotRun => self.turned_away += 1,
+            Verdict::NotRun => self.not_run += 1,
             Verdict::MayHaveRun | Verdict::Ran => self.ran += 1,
         }
         self.avoid.push((replica.to_owned(), 0));
     }
 
-    /// True when one more replica may have it.
-    pub fn may_go_on(&self, repeat: Repeat, most: u32) -> bool {
-        let again = self.ran == 0 || repeat.is_repeatable();
-        again && self.ran < most && self.turned_away <= TURNED_AWAY
+    /// Returns true when the request may be sent to one more replica.
+    pub fn allows_another(&self, repeat: Repeat, max_attempts: u32) -> bool {
+        let may_rerun = self.ran == 0 || repeat.is_repeatable();
+        may_rerun
+            && self.ran < max_attempts
+            && self.not_run <= MAX_NOT_RUN_RETRIES
     }
 }
 
-/// Answers one request.
+/// Serves one request of a caller.
 pub async fn serve(
     gateway: Arc<Gateway>,
     request: Request<Incoming>,
@@ -120,7 +127,7 @@
     let id = asked.id.clone();
     match accept(&gateway, request, asked, began).await {
         Ok(work) => {
-            gateway.begun.fetch_add(1, Ordering::Relaxed);
+            gateway.accepted.fetch_add(1, Ordering::Relaxed);
             run(work).await
         }
         Err(refusal) => {
@@ -130,14 +137,14 @@
     }
 }
 
-// ---- At the replicas ----------------------------------------------------------
+// ---- Attempts at replicas --------------------------------------------------
 
-/// What one replica made of a request.
+/// The answer of one replica.
 pub(super) enum Reply {
-    /// The head of an answer that is passed on as it comes.
-    Streams(Box<relay::Source>, Response<()>),
-    /// A whole answer.
-    Whole(Response<Bytes>),
+    /// The head of an answer whose body is streamed to the caller.
+    Streaming(Box<relay::Source>, Response<()>),
+    /// An answer that was read to its end.
+    Complete(Response<Bytes>),
 }
 
 async fn run(mut work: Work) -> Response<Body> {
@@ -147,20 +154,20 @@
     let began = work.began;
     let result = work.run().await;
     match result {
-        Ok(Reply::Whole(answer)) => {
+        Ok(Reply::Complete(answer)) => {
             work.log(answer.status(), "answered");
-            work.note_first_token();
-            work.note_end();
+            work.observe_first_token();
+            work.observe_latency();
             answer.map(full)
         }
-        Ok(Reply::Streams(source, head)) => {
+        Ok(Reply::Streaming(source, head)) => {
             work.log(head.status(), "streams");
-            work.note_first_token();
+            work.observe_first_token();
             relay::open(work, *source, head)
         }
         Err(refusal) => {
             if refusal.verdict == Verdict::NotRun {
-                work.give_back();
+                work.refund_quota();
             }
             let refusal = Refusal { route, ..refusal };
             refusal.note(&gateway.metrics, id.as_ref(), began);
@@ -170,20 +177,21 @@
 }
 
 impl Work {
-    /// Milliseconds by the timer's clock.
+    /// Returns the time by the timer's clock, in ms.
     pub fn now(&self) -> u64 {
         self.gateway.timer.now()
     }
 
     async fn run(&mut self) -> Result<Reply, Refusal> {
-        let mut last = Refusal::later("no replica is there", NO_REPLICA_MS);
+        let mut last =
+            Refusal::later("no replica is there", NO_REPLICA_RETRY_AFTER_MS);
         let mut answer = None;
         loop {
             if Instant::now() >= self.deadline {
                 let verdict = last.verdict;
-                return self.settle(answer, Refusal::late(verdict));
+                return self.answer_or_refuse(answer, Refusal::late(verdict));
             }
-            let tried = self.attempts.ran + self.attempts.turned_away;
+            let tried = self.attempts.ran + self.attempts.not_run;
             let target = match tried {
                 0 => self.gateway.wait_at_start(|| self.pick()).await,
                 _ => self.pick(),
@@ -193,11 +201,11 @@
                     0 => self.limited().unwrap_or(last),
                     _ => last,
                 };
-                return self.settle(answer, refusal);
+                return self.answer_or_refuse(answer, refusal);
             };
             if let Some(refusal) = self.overload(&target, tried) {
-                self.forget(&target);
-                return self.settle(answer, refusal);
+                self.release(&target);
+                return self.answer_or_refuse(answer, refusal);
             }
             if tried == 0 {
                 self.gateway.fleet().sent(self.now(), &self.service);
@@ -210,7 +218,7 @@
             );
             self.chosen = Some(target.clone());
             match self.attempt(&target, self.asked.last_event).await {
-                Ok(Reply::Whole(failure)) if is_failure(&failure) => {
+                Ok(Reply::Complete(failure)) if is_failure(&failure) => {
                     self.attempts.note(&target.replica, Verdict::Ran);
                     answer = Some(failure);
                 }
@@ -227,12 +235,13 @@
                     );
                     self.attempts.note(&target.replica, failed.verdict);
                     last = match (failed.verdict, failed.sent) {
-                        (Verdict::NotRun, true) => {
-                            Refusal::later("the replicas are full", LATER_MS)
-                        }
+                        (Verdict::NotRun, true) => Refusal::later(
+                            "the replicas are full",
+                            REPLICAS_FULL_RETRY_AFTER_MS,
+                        ),
                         (Verdict::NotRun, false) => Refusal::later(
                             "no replica can be reached",
-                            NO_REPLICA_MS,
+                            NO_REPLICA_RETRY_AFTER_MS,
                         ),
                         _ => Refusal::doubtful("the replica did not answer"),
                     };
@@ -249,29 +258,32 @@
                     }
                 }
             }
-            if !self.may_repeat() {
-                return self.settle(answer, last);
+            if !self.claim_retry() {
+                return self.answer_or_refuse(answer, last);
             }
         }
     }
 
-    /// A replica's own failure is passed on before one of the gateway's.
-    fn settle(
+    /// Returns a replica's error answer if there is one, otherwise the
+    /// refusal.
+    fn answer_or_refuse(
         &self,
         answer: Option<Response<Bytes>>,
         refusal: Refusal,
     ) -> Result<Reply, Refusal> {
-        answer.map(Reply::Whole).ok_or(refusal)
+        answer.map(Reply::Complete).ok_or(refusal)
     }
 
-    /// Whether one more replica may be asked; counts it if so.
-    pub fn may_repeat(&self) -> bool {
+    /// Returns true when the request may be sent to one more replica, and then
+    /// charges the retry budget.
+    pub fn claim_retry(&self) -> bool {
         let route = &self.route;
-        if !self.attempts.may_go_on(route.repeat, route.attempts) {
+        if !self.attempts.allows_another(route.repeat, route.attempts) {
             return false;
         }
-        let kept = self.gateway.kept_away(self.fingerprint, &self.service);
-        if kept.is_some() {
+        let quarantined =
+            self.gateway.kept_away(self.fingerprint, &self.service);
+        if quarantined.is_some() {
             return false;
         }
         let entries = self.gateway.entries();
@@ -279,7 +291,8 @@
         self.gateway.fleet().repeat(now, &self.service, entries)
     }
 
-    /// The router's choice among replicas that have not had the request.
+    /// Returns the router's choice among the replicas that have not been
+    /// tried.
     pub fn pick(&self) -> Option<Target> {
         let blocks = blocks_of(&self.asked.parts);
         let tokens = self.asked.tokens.map_or(0, |(prompt, _)| prompt);
@@ -291,42 +304,45 @@
         };
         let now = self.now();
         let target = self.gateway.fleet().pick(now, &self.service, &ask)?;
-        let had = self.attempts.avoid.iter();
-        let had = had.filter(|(id, _)| *id == target.replica).count() > 0;
-        if had {
-            self.forget(&target);
+        let tried_before = self.attempts.avoid.iter();
+        let tried_before =
+            tried_before.filter(|(id, _)| *id == target.replica).count() > 0;
+        if tried_before {
+            self.release(&target);
             return None;
         }
         Some(target)
     }
 
-    /// Takes back a choice that is not made use of.
-    fn forget(&self, target: &Target) {
+    /// Releases a chosen replica without sending the request to it.
+    fn release(&self, target: &Target) {
         let now = self.now();
         let mut fleet = self.gateway.fleet();
         fleet.end(now, &self.service, target.ticket, false, End::Unsent);
     }
 
-    /// The team's rank before the route's.
+    /// Returns the team's priority, or the route's if the team has none.
     pub fn priority(&self) -> u32 {
         let team = self.team.as_ref().and_then(|team| team.priority);
         team.unwrap_or(self.route.priority)
     }
 
-    /// Asks one replica.
+    /// Sends the request to one replica and reads its answer.
     pub async fn attempt(
         &self,
         target: &Target,
         last_event: Option<u64>,
-    ) -> Result<Reply, Failed> {
+    ) -> Result<Reply, Error> {
         let mut flight = Flight::begin(self, target);
         let lines = &self.gateway.lines;
         let taken =
             lines.take(&target.replica, target.address, self.deadline).await;
-        let mut line = taken.inspect_err(|_| flight.end = End::Failed)?;
+        let mut connection =
+            taken.inspect_err(|_| flight.end = End::Failed)?;
         let request = self.request(target, last_event)?;
-        let silence = self.silence(target);
-        let sent = line.send(request, self.body.len(), silence).await;
+        let max_silence = self.max_silence(target);
+        let sent =
+            connection.send(request, self.body.len(), max_silence).await;
         let response = sent.inspect_err(|failed| {
             let due = Instant::now() < self.deadline;
             if due || failed.verdict != Verdict::MayHaveRun {
@@ -342,65 +358,70 @@
             response.headers(),
         );
         self.gateway.note_limit(&target.replica, flight.began_at(), &answered);
-        self.check(&answered, &mut flight)?;
+        self.check_answer(&answered, &mut flight)?;
         let proves = response.status().is_success() && is_framed(&response);
         flight.began(&answered, proves);
         self.gateway.count_began(self.team.as_ref());
         let streams = self.route.repeat.is_stream();
         if streams && response.status().is_success() {
             let (head, body) = response.into_parts();
-            let keep = answered.keep_ms;
+            let keep_ms = answered.keep_ms;
             let read = Bytes::new();
-            let source = relay::Source { read, body, line, flight, keep };
+            let source =
+                relay::Source { read, body, connection, flight, keep_ms };
             let head = answer_head(head, &Method::GET);
-            return Ok(Reply::Streams(Box::new(source), head));
+            return Ok(Reply::Streaming(Box::new(source), head));
         }
-        self.read_whole(response, line, flight, answered.keep_ms).await
+        self.read_answer(response, connection, flight, answered.keep_ms).await
     }
 
-    fn check(
+    fn check_answer(
         &self,
         answered: &Answered,
         flight: &mut Flight,
-    ) -> Result<(), Failed> {
+    ) -> Result<(), Error> {
         let failed = |verdict, text: &str| {
             let text = text.to_owned();
-            Err(Failed { verdict, sent: true, fault: Fault::Other, text })
+            Err(Error { verdict, sent: true, fault: Fault::Other, text })
         };
         if !answered.matches {
             flight.end = End::Failed;
-            return failed(Verdict::MayHaveRun, "answer to another request");
+            return failed(
+                Verdict::MayHaveRun,
+                "the answer belongs to another request",
+            );
         }
         if answered.wrong_replica {
             flight.end = End::Failed;
-            return failed(Verdict::NotRun, "another replica is there");
+            return failed(Verdict::NotRun, "another replica has the address");
         }
         if answered.not_run {
             flight.end = End::Failed;
-            return failed(Verdict::NotRun, "the replica refused it");
+            return failed(Verdict::NotRun, "the replica rejected it");
         }
         Ok(())
     }
 
-    /// Reads an answer to its end, or hands on a long one as it comes.
-    async fn read_whole(
+    /// Reads an answer to its end, or returns a long one to be streamed.
+    async fn read_answer(
         &self,
         response: Response<Incoming>,
-        line: Line,
+        connection: Connection,
         mut flight: Flight,
-        keep: Option<u64>,
-    ) -> Result<Reply, Failed> {
+        keep_ms: Option<u64>,
+    ) -> Result<Reply, Error> {
         let (head, mut body) = response.into_parts();
         let failure = head.status.is_server_error();
         let mut read = BytesMut::new();
         loop {
-            // One that comes in chunks shows its length only as it comes.
+            // The length of a chunked answer is not known in advance.
             let length = read.len() as u64 + body.size_hint().lower();
-            if length > WHOLE_ANSWER {
+            if length > MAX_BUFFERED_ANSWER_BYTES {
                 let read = read.freeze();
-                let source = relay::Source { read, body, line, flight, keep };
+                let source =
+                    relay::Source { read, body, connection, flight, keep_ms };
                 let head = answer_head(head, &self.method);
-                return Ok(Reply::Streams(Box::new(source), head));
+                return Ok(Reply::Streaming(Box::new(source), head));
             }
             match timeout_at(self.deadline, body.frame()).await {
                 Ok(Some(Ok(frame))) => {
@@ -411,7 +432,7 @@
                 Ok(None) => break,
                 Ok(Some(Err(error))) => {
                     flight.end = End::Broken;
-                    return Err(Failed {
+                    return Err(Error {
                         verdict: Verdict::Ran,
                         sent: true,
                         fault: Fault::Broken,
@@ -419,31 +440,34 @@
                     });
                 }
                 Err(_) => {
-                    return Err(Failed {
+                    return Err(Error {
                         verdict: Verdict::Ran,
                         sent: true,
                         fault: Fault::Other,
-                        text: "the answer did not end in time".to_owned(),
+                        text: "the answer was not complete in time".to_owned(),
                     });
                 }
             }
         }
         flight.finish(failure);
-        self.gateway.lines.put_back(line, keep.map(Duration::from_millis));
+        self.gateway
+            .lines
+            .put_back(connection, keep_ms.map(Duration::from_millis));
         let head = answer_head(head, &self.method);
-        Ok(Reply::Whole(head.map(|()| read.freeze())))
+        Ok(Reply::Complete(head.map(|()| read.freeze())))
     }
 
     fn request(
         &self,
         target: &Target,
         last_event: Option<u64>,
-    ) -> Result<Request<Full<Bytes>>, Failed> {
+    ) -> Result<Request<Full<Bytes>>, Error> {
         let left = self.deadline.saturating_duration_since(Instant::now());
         let mut headers = self.headers.clone();
         let team = self.team.as_ref();
-        // Room is left between two ranks for what is served first within one.
-        let urgency = (2 * self.priority()).min(LEAST_URGENT) as u8;
+        // Doubling leaves a value between two priorities, for requests that go
+        // first within one of them.
+        let urgency = (2 * self.priority()).min(MAX_URGENCY) as u8;
         let sending = Sending {
             replica: &target.replica,
             team: team.map(|team| team.name.as_str()),
@@ -457,7 +481,7 @@
             .method(self.method.clone())
             .uri(self.path.as_str())
             .body(Full::new(self.body.clone()))
-            .map_err(|error| Failed {
+            .map_err(|error| Error {
                 verdict: Verdict::NotRun,
                 sent: false,
                 fault: Fault::Other,
@@ -467,28 +491,30 @@
         Ok(request)
     }
 
-    /// How long a replica may be silent before its answer begins.
+    /// Returns how long a replica may be silent before its answer begins.
     ///
-    /// One that answers others is at work: leaving it would only begin the
-    /// same wait elsewhere, and its reading would be in vain.
-    fn silence(&self, target: &Target) -> Duration {
+    /// A replica that answers other requests is working. Another replica would
+    /// only make the request wait again, and what the first one has read of
+    /// the prompt would be wasted.
+    fn max_silence(&self, target: &Target) -> Duration {
         let left = self.deadline.saturating_duration_since(Instant::now());
         let mut next = self.attempts.clone();
         next.ran += 1;
-        if !next.may_go_on(self.route.repeat, self.route.attempts) {
+        if !next.allows_another(self.route.repeat, self.route.attempts) {
             return left;
         }
-        let aim = Duration::from_millis(self.route.target_ms);
-        let least = Duration::from_millis(LEAST_SILENCE_MS);
-        let short = (aim * SILENT_TARGETS).max(least);
+        let target_time = Duration::from_millis(self.route.target_ms);
+        let min_silence = Duration::from_millis(MIN_SILENCE_MS);
+        let short_silence =
+            (target_time * MAX_SILENCE_TARGETS).max(min_silence);
         let fleet = self.gateway.fleet();
         match fleet.is_answering(self.now(), &self.service, &target.replica) {
-            true => left.min(short.max(left / 2)),
-            false => left.min(short),
+            true => left.min(short_silence.max(left / 2)),
+            false => left.min(short_silence),
         }
     }
 
-    fn give_back(&self) {
+    fn refund_quota(&self) {
         if let Some(team) = &self.team
             && let Some(quota) = team.quota
         {
@@ -497,15 +523,15 @@
         }
     }
 
-    /// Counts the time until the answer began.
-    fn note_first_token(&self) {
+    /// Records the time until the answer began.
+    fn observe_first_token(&self) {
         let metrics = &self.gateway.metrics;
         let first = metrics.first_token.get_or_create(&self.labels());
         first.observe(self.began.elapsed().as_secs_f64());
     }
 
-    /// Counts the time until the answer ended, whole.
-    pub fn note_end(&self) {
+    /// Records the time until the complete answer ended.
+    pub fn observe_latency(&self) {
         let metrics = &self.gateway.metrics;
         let latency = metrics.latency.get_or_create(&self.labels());
         latency.observe(self.began.elapsed().as_secs_f64());
@@ -519,7 +545,7 @@
         }
     }
 
-    /// One line for the decision and what came of it.
+    /// Logs the routing decision and its outcome in one line.
     fn log(&self, status: StatusCode, how: &'static str) {
         let chosen = self.chosen.as_ref();
         info!(
@@ -532,13 +558,15 @@
             replica = chosen.map_or("", |target| &target.replica),
             prompt_tokens = self.asked.tokens.map_or(0, |(prompt, _)| prompt),
             prefix = self.asked.prefix(),
-            foretold_ms = chosen.map_or(0, |one| one.predicted_ms as u64),
+            foretold_ms = chosen
+                .map_or(0, |target| target.predicted_ms as u64),
             cached = chosen.map_or(0, |target| target.cached_tokens),
-            fetches = chosen.is_some_and(|one| one.fetch_from.is_some()),
-            takes_per_s = chosen
-                .map_or(0.0, |one| self.gateway.named_rate(&one.replica)),
+            fetches = chosen.is_some_and(|target| target.fetch_from.is_some()),
+            takes_per_s = chosen.map_or(0.0, |target| {
+                self.gateway.named_rate(&target.replica)
+            }),
             ran = self.attempts.ran,
-            turned_away = self.attempts.turned_away,
+            turned_away = self.attempts.not_run,
             status = status.as_u16(),
             after_ms = self.began.elapsed().as_millis() as u64,
             "Request {how}."
@@ -546,22 +574,22 @@
     }
 }
 
-/// True for an answer after which another replica may do better.
+/// Returns true for a server error, after which another replica may succeed.
 fn is_failure(answer: &Response<Bytes>) -> bool {
     answer.status().is_server_error()
 }
 
-/// True where the end of an answer can be told from a connection that broke.
+/// Returns true if the end of the answer can be told from a broken connection.
 fn is_framed(answer: &Response<Incoming>) -> bool {
     let headers = answer.headers();
     headers.contains_key(header::CONTENT_LENGTH)
         || headers.contains_key(header::TRANSFER_ENCODING)
 }
 
-/// The head of an answer, for the client.
+/// Returns the head of an answer for the caller.
 fn answer_head(head: http::response::Parts, method: &Method) -> Response<()> {
     let length = head.headers.get(header::CONTENT_LENGTH).cloned();
-    let mut headers = passed_on(head.headers);
+    let mut headers = remove_hop_by_hop_headers(head.headers);
     if let (Some(length), &Method::HEAD) = (length, method) {
         headers.insert(header::CONTENT_LENGTH, length);
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,28 +1,28 @@
-//! A gateway: passes clients' requests on to replicas, unchanged.
+//! A gateway that forwards callers' requests to replicas unchanged.
 //!
 //! | module | does |
 //! |---|---|
-//! | [`server`] | connections with clients |
-//! | [`plan`] | routes, services, teams and limits, checked |
-//! | [`dialect`] | the headers that mean something here |
-//! | `bodies` | memory for the bodies of all requests |
-//! | `accept` | what is checked before any replica is asked |
-//! | [`forward`] | one request at the replicas |
-//! | `flight` | a request under way, as the router counts it |
-//! | `relay` | answers that are passed on as they come |
-//! | `ending` | whether a replica has ended, when a connection broke |
-//! | [`events`] | streams cut where an event ends |
-//! | `memory` | what replicas have been sent lately |
-//! | `overload` | requests that replicas can't take now |
-//! | `suspects` | requests that may have ended replicas |
-//! | [`parts`] | prompts that come in parts |
-//! | `quotas` | what teams may still use |
-//! | `rate_limits` | what replicas say of the rate that they take |
+//! | [`server`] | serves HTTP connections from callers |
+//! | [`plan`] | validates routes, services, teams and limits |
+//! | [`dialect`] | reads and writes the headers that the gateway interprets |
+//! | `bodies` | limits the memory that request bodies take together |
+//! | `accept` | checks a request before it is sent to a replica |
+//! | [`forward`] | sends a request to replicas and retries it |
+//! | `flight` | tracks an attempt in flight for the router |
+//! | `relay` | streams answers to callers |
+//! | `ending` | tells crashed replicas from broken connections |
+//! | [`events`] | splits streams at event boundaries |
+//! | `memory` | remembers which prompt parts replicas were sent recently |
+//! | `overload` | refuses requests that replicas can't start in time |
+//! | `suspects` | tracks requests that may have crashed replicas |
+//! | [`parts`] | maps the parts of a prompt to cache blocks |
+//! | `quotas` | enforces the teams' quotas |
+//! | `rate_limits` | tracks the rate limits that replicas announce |
 //! | [`fleet`] | the replicas of each service, with a router for each |
-//! | [`upstream`] | connections with replicas |
-//! | [`refusal`] | answers of the gateway's own |
+//! | [`upstream`] | connections to replicas |
+//! | [`refusal`] | error answers that the gateway itself sends |
 //!
-//! What it decides by stands in [`crate::decide`].
+//! The decision algorithms are in [`crate::decide`].
 
 mod accept;
 mod bodies;
@@ -57,13 +57,13 @@
 use tracing::info;
 
 use self::{
-    bodies::Bodies,
+    bodies::Budget,
     dialect::Dialect,
     ending::Endings,
     fleet::Fleet,
     plan::{Plan, Route, Team},
     quotas::Quotas,
-    upstream::Lines,
+    upstream::Pool,
 };
 use crate::{
     board::Cell,
@@ -78,37 +78,40 @@
     wire::Cached,
 };
 
-/// Replicas that appear within this time are taken over together: with three
-/// thousand that start, each node would else look at all of them for each.
-const REFRESH_PAUSE: Duration = Duration::from_millis(50);
+/// Minimum time between two refreshes of the fleet from the mesh.
+///
+/// Replicas that appear within it are added together. When three thousand
+/// replicas start, each node would otherwise scan all of them once for each.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A node that was started so long ago knows all that it will.
-const STARTING: Duration = Duration::from_millis(1000);
-/// The longest that a request waits for what a node lacks at its start: twice
-/// what others take to tell it.
-const START_WAIT: Duration = Duration::from_millis(300);
+/// Time after a node's start in which requests may wait for its initial state.
+/// After it the node has all the state that other nodes send it at the start.
+const START_PERIOD: Duration = Duration::from_millis(1000);
+/// Maximum time that a request waits for a starting node's initial state:
+/// twice the time in which other nodes send it.
+const MAX_START_WAIT: Duration = Duration::from_millis(300);
 
 common! {
     copy
-    /// How usage is counted.
+    /// The windows of time in which usage is counted.
     pub struct Windows {
-        /// The length of a window, in ms.
+        /// Length of a window, in ms.
         pub length_ms: u64,
     }
 }
 
-/// How to run a gateway.
+/// Options of a [`Gateway`].
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Where this VM is.
+    /// Data centre of this VM.
     pub data_centre: String,
-    /// What repeats are allowed over all entries.
+    /// Bound on retries, over all entries together.
     pub repeats: Bound,
-    /// By how much quotas may be exceeded.
+    /// Amount by which quotas may be exceeded.
     pub tolerance: Tolerance,
-    /// How usage is counted.
+    /// The windows in which usage is counted.
     pub windows: Windows,
-    /// Memory for the bodies of all requests under way, in bytes.
+    /// Memory for the bodies of all requests in flight together, in bytes.
     pub body_memory: usize,
 }
 
@@ -116,34 +119,35 @@
 pub struct Gateway {
     pub(crate) dialect: Arc<dyn Dialect>,
     pub(crate) timer: Timer,
-    /// Written by the node; versions only grow.
+    /// Written by the node. Versions only increase.
     pub(crate) plan: Arc<Cell<Option<Plan>>>,
-    pub(crate) lines: Lines,
+    pub(crate) lines: Pool,
     pub(crate) metrics: Metrics,
-    bodies: Bodies,
+    bodies: Budget,
     endings: Endings,
     quarantine: Mutex<Quarantine>,
     rate_limits: Mutex<RateLimits>,
-    /// A request with several crashes became known.
+    /// Notified when this node learns of a request with several crashes.
     pub(crate) has_suspects: Notify,
     mesh: std::sync::OnceLock<mesh::Handle>,
     fleet: Mutex<Fleet>,
     quotas: Mutex<Quotas>,
-    /// This node has started among others.
+    /// True when other nodes may already have been serving when this node
+    /// started.
     joins: AtomicBool,
     windows: Windows,
     tolerance: Tolerance,
-    /// When the mesh was last looked at.
+    /// When the quotas were last refreshed from the mesh, in ms.
     refreshed_at: AtomicU64,
-    /// When replicas were last taken over from the mesh.
-    renewed_at: AtomicU64,
-    /// They will be in a moment.
-    is_due: AtomicBool,
-    /// Plan or replicas may have changed.
+    /// When the fleet was last refreshed from the mesh, in ms.
+    fleet_refreshed_at: AtomicU64,
+    /// True while a delayed refresh is scheduled.
+    is_refresh_scheduled: AtomicBool,
+    /// Notified when the plan or the replicas may have changed.
     changed: watch::Sender<()>,
     opened: Instant,
-    /// Callers' requests that were accepted.
-    begun: AtomicU64,
+    /// Number of callers' requests accepted since the start.
+    accepted: AtomicU64,
 }
 
 impl std::fmt::Debug for Gateway {
@@ -153,7 +157,8 @@
 }
 
 impl Gateway {
-    /// Starts without a plan; every request is refused until there is one.
+    /// Creates a gateway without a plan. It refuses every request until a plan
+    /// is set.
     pub fn open(
         options: &Options,
         dialect: Arc<dyn Dialect>,
@@ -163,9 +168,9 @@
             dialect,
             timer,
             plan: Arc::new(Cell::new(None)),
-            lines: Lines::default(),
+            lines: Pool::default(),
             metrics: Metrics::open(),
-            bodies: Bodies::open(options.body_memory),
+            bodies: Budget::open(options.body_memory),
             endings: Endings::default(),
             quarantine: Mutex::default(),
             rate_limits: Mutex::default(),
@@ -180,20 +185,22 @@
             windows: options.windows,
             tolerance: options.tolerance,
             refreshed_at: AtomicU64::new(0),
-            renewed_at: AtomicU64::new(0),
-            is_due: AtomicBool::new(false),
+            fleet_refreshed_at: AtomicU64::new(0),
+            is_refresh_scheduled: AtomicBool::new(false),
             changed: watch::Sender::new(()),
             opened: Instant::now(),
-            begun: AtomicU64::new(0),
+            accepted: AtomicU64::new(0),
         }
     }
 
-    /// Joins the mesh, which also needs the gateway; once.
+    /// Sets the mesh handle. Calls after the first have no effect.
+    ///
+    /// The mesh itself needs the gateway, so the handle is set after `open`.
     pub fn set_mesh(&self, mesh: mesh::Handle) {
         let _ = self.mesh.set(mesh);
     }
 
-    /// Puts a plan in force, if it is newer than the one that is.
+    /// Applies a plan if it is newer than the current one.
     pub fn set_plan(&self, plan: Plan) {
         let version = plan.version();
         if version <= self.plan_version() {
@@ -204,7 +211,7 @@
             plan = version,
             before = self.plan_version(),
             routes = plan.routes().len(),
-            "New plan in force."
+            "Applied a new plan."
         );
         self.metrics.revision.set(version as i64);
         self.plan.write(Some(plan));
@@ -212,16 +219,16 @@
         self.changed.send_replace(());
     }
 
-    /// The version in force, 0 before the first.
+    /// Returns the version of the current plan, 0 before the first.
     pub fn plan_version(&self) -> u64 {
         self.plan.read().as_ref().as_ref().map_or(0, Plan::version)
     }
 
-    /// Takes over what the mesh knows of replicas and of quotas.
+    /// Updates replicas, rate limits and quotas from the mesh.
     pub fn refresh(&self) {
         let Some(mesh) = self.mesh.get() else { return };
         let now = self.timer.now();
-        self.renewed_at.store(now, Ordering::Relaxed);
+        self.fleet_refreshed_at.store(now, Ordering::Relaxed);
         let plan = self.plan.read();
         self.expire_suspects();
         let mut fleet = self.fleet();
@@ -234,20 +241,24 @@
         self.changed.send_replace(());
     }
 
-    /// Waits until `look` finds what a node that has just started lacks, as
-    /// long as that is worth it.
+    /// Waits on a node that has just started until `lookup` returns a value.
+    ///
+    /// Returns `None` when the value is still missing after `MAX_START_WAIT`
+    /// or after the end of the start period.
     ///
-    /// A node asks the others at its start and knows plan and replicas a tenth
-    /// of a second later. A request refused meanwhile comes back after a third
-    /// of a second or more, which is beyond the target of most routes.
+    /// At its start a node requests the state of other nodes and has plan and
+    /// replicas a tenth of a second later. A request refused before that is
+    /// retried by its caller after a third of a second or more, which is
+    /// beyond the target of most routes.
     pub(crate) async fn wait_at_start<T>(
         &self,
-        mut look: impl FnMut() -> Option<T>,
+        mut lookup: impl FnMut() -> Option<T>,
     ) -> Option<T> {
-        let until = (self.opened + STARTING).min(Instant::now() + START_WAIT);
+        let until =
+            (self.opened + START_PERIOD).min(Instant::now() + MAX_START_WAIT);
         let mut changes = self.changed.subscribe();
         loop {
-            if let Some(found) = look() {
+            if let Some(found) = lookup() {
                 return Some(found);
             }
             let changed = timeout_at(until, changes.changed()).await;
@@ -257,26 +268,27 @@
         }
     }
 
-    /// The same, at once or, where it was done a moment ago, once for all that
-    /// changes within the next one.
+    /// Refreshes at once, or after `REFRESH_INTERVAL` if the last refresh
+    /// was more recent than that. The delayed refresh covers all changes until
+    /// then.
     pub fn refresh_soon(self: &Arc<Gateway>) {
-        let pause_ms = REFRESH_PAUSE.as_millis() as u64;
-        let last = self.renewed_at.load(Ordering::Relaxed);
-        if self.timer.now() >= last + pause_ms {
+        let interval_ms = REFRESH_INTERVAL.as_millis() as u64;
+        let last = self.fleet_refreshed_at.load(Ordering::Relaxed);
+        if self.timer.now() >= last + interval_ms {
             return self.refresh();
         }
-        if self.is_due.swap(true, Ordering::Relaxed) {
+        if self.is_refresh_scheduled.swap(true, Ordering::Relaxed) {
             return;
         }
         let gateway = self.clone();
         tokio::spawn(async move {
-            sleep(REFRESH_PAUSE).await;
-            gateway.is_due.store(false, Ordering::Relaxed);
+            sleep(REFRESH_INTERVAL).await;
+            gateway.is_refresh_scheduled.store(false, Ordering::Relaxed);
             gateway.refresh();
         });
     }
 
-    /// What other nodes are told of this one's requests.
+    /// Returns the report on this node's requests for the other nodes.
     pub fn own(&self) -> Own {
         let spent = self.spent();
         let suspects = self.suspects();
@@ -292,32 +304,33 @@
             suspected: suspects.suspected,
             successes: suspects.successes,
             limits,
-            begun: self.begun.load(Ordering::Relaxed),
+            begun: self.accepted.load(Ordering::Relaxed),
         }
     }
 
-    /// Takes note of what other nodes have sent to replicas.
+    /// Records the prompt parts that other nodes have sent to replicas.
     pub fn note_cached(&self, cached: &[Cached]) {
         self.fleet().note_cached(self.timer.now(), cached);
     }
 
-    /// What replicas have been sent lately, as far as known here.
+    /// Returns the prompt parts that replicas were sent recently, by this node
+    /// or by nodes that reported them.
     pub fn cached(&self) -> Vec<Cached> {
         self.fleet().cached()
     }
 
     pub(crate) fn fleet(&self) -> MutexGuard<'_, Fleet> {
-        self.fleet.lock().unwrap_or_else(|held| held.into_inner())
+        self.fleet.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Entries that serve, this one too.
+    /// Returns the number of serving entries, including this one.
     fn entries(&self) -> usize {
         let now = self.timer.now();
         let Some(mesh) = self.mesh.get() else { return 1 };
         mesh.table().reach(now).0
     }
 
-    /// One of a route's services, by weight.
+    /// Picks one of the route's services at random, by weight.
     fn draw_service(&self, route: &Route) -> String {
         let total: u64 = route.split.iter().map(|(_, weight)| weight).sum();
         let mut drawn = rand::rng().random_range(0..total.max(1));
@@ -330,7 +343,8 @@
         String::new()
     }
 
-    /// Counts a request that a replica began to run.
+    /// Counts a request that a replica has begun to answer towards its team's
+    /// usage in the current window.
     fn count_began(&self, team: Option<&Team>) {
         let (Some(team), Some(mesh)) = (team, self.mesh.get()) else {
             return;
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -1,10 +1,10 @@
-//! Answers that are passed on as they come.
+//! Streams answers to callers.
 //!
-//! A stream of events that breaks off goes on at another replica, if its
-//! route allows that: behind the last event that went to the client, in the
-//! same answer. One that can't go on ends with an error, which closes the
-//! client's connection in the middle of the body, so that nobody takes it
-//! for whole.
+//! If the route allows it, an event stream that breaks off is resumed at
+//! another replica after the last event that was sent to the caller, within
+//! the same answer. A stream that can't be resumed ends with an error. The
+//! error closes the caller's connection within the body, so that the caller
+//! can't take the partial answer for a complete one.
 
 use std::time::Duration;
 
@@ -22,49 +22,49 @@
     flight::Flight,
     forward::{Reply, Work},
     plan::Repeat,
-    server::{Body, Broken},
-    upstream::Line,
+    server::{Body, BodyError},
+    upstream::Connection,
 };
 use crate::{fingerprint, verdict::Verdict};
 
-/// A stream that can go on elsewhere does so after this silence. Clients
-/// leave after two seconds or more; replicas under load pause for some tenths
-/// of a second.
-const SILENCE: Duration = Duration::from_millis(1500);
+/// Silence after which a resumable stream moves to another replica. Callers
+/// disconnect after two seconds or more, and replicas under load pause for
+/// some tenths of a second.
+const MAX_STREAM_SILENCE: Duration = Duration::from_millis(1500);
 
-/// Where an answer comes from.
+/// The replica's side of an answer that is being streamed.
 pub(super) struct Source {
-    /// What has been read of it already.
+    /// The part of the body that has already been read.
     pub read: Bytes,
     pub body: Incoming,
-    pub line: Line,
+    pub connection: Connection,
     pub flight: Flight,
-    /// How long the replica keeps the connection afterwards, in ms.
-    pub keep: Option<u64>,
+    /// How long the replica keeps the idle connection open, in ms.
+    pub keep_ms: Option<u64>,
 }
 
 struct Relay {
     work: Work,
     source: Option<Source>,
     splitter: Splitter,
-    /// Whether the body is made of events.
-    events: bool,
-    /// The stream has ended, well or not.
-    over: bool,
+    /// True when the body is an event stream.
+    is_event_stream: bool,
+    /// True when the stream has ended, completely or with an error.
+    has_ended: bool,
 }
 
-/// The answer to a client, which lives on as long as the client reads it.
+/// Returns an answer whose body forwards the source as the caller reads it.
 pub(super) fn open(
     work: Work,
     source: Source,
     head: Response<()>,
 ) -> Response<Body> {
-    let events = work.route.repeat.is_stream();
+    let is_event_stream = work.route.repeat.is_stream();
     let relay = Relay {
         splitter: Splitter::open(work.asked.last_event),
         source: Some(source),
-        events,
-        over: false,
+        is_event_stream,
+        has_ended: false,
         work,
     };
     let frames = stream::unfold(relay, |mut relay| async move {
@@ -74,123 +74,124 @@
     head.map(|()| StreamBody::new(frames).boxed_unsync())
 }
 
-/// What came from a replica.
-enum Piece {
+/// The next part of an answer from a replica, or why there is none.
+enum Received {
     Data(Bytes),
     End,
     Broken(&'static str),
-    OutOfTime,
+    Timeout,
 }
 
 impl Relay {
-    /// The next bytes for the client; `None` at the end of a whole answer.
-    async fn next(&mut self) -> Option<Result<Bytes, Broken>> {
-        while !self.over {
-            let why = match self.piece().await {
-                Piece::Data(bytes) if bytes.is_empty() => continue,
-                Piece::Data(bytes) => return Some(Ok(bytes)),
-                Piece::End => {
+    /// Returns the next bytes for the caller, `None` after a complete answer.
+    async fn next(&mut self) -> Option<Result<Bytes, BodyError>> {
+        while !self.has_ended {
+            let reason = match self.receive().await {
+                Received::Data(bytes) if bytes.is_empty() => continue,
+                Received::Data(bytes) => return Some(Ok(bytes)),
+                Received::End => {
                     self.finish();
                     return None;
                 }
-                Piece::OutOfTime => return Some(Err(self.fail("time is up"))),
-                Piece::Broken(why) => why,
+                Received::Timeout => return Some(Err(self.fail("timed out"))),
+                Received::Broken(reason) => reason,
             };
-            if !self.go_on(why).await {
-                return Some(Err(self.fail(why)));
+            if !self.resume(reason).await {
+                return Some(Err(self.fail(reason)));
             }
         }
         None
     }
 
-    async fn piece(&mut self) -> Piece {
+    async fn receive(&mut self) -> Received {
         let deadline = self.work.deadline;
         let resumable = self.work.route.repeat == Repeat::Resumable;
         let Some(source) = &mut self.source else {
-            return Piece::Broken("no replica");
+            return Received::Broken("there is no replica to read from");
         };
         if !source.read.is_empty() {
-            return Piece::Data(std::mem::take(&mut source.read));
+            return Received::Data(std::mem::take(&mut source.read));
         }
         let until = match resumable {
-            true => deadline.min(Instant::now() + SILENCE),
+            true => deadline.min(Instant::now() + MAX_STREAM_SILENCE),
             false => deadline,
         };
         let frame = match timeout_at(until, source.body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
             Ok(Some(Err(_))) => {
                 source.flight.end = End::Broken;
-                return Piece::Broken("it broke off");
+                return Received::Broken("the replica's connection broke");
             }
-            Ok(None) if !self.events => return Piece::End,
+            Ok(None) if !self.is_event_stream => return Received::End,
             Ok(None) if self.splitter.is_between_events() => {
-                return Piece::End;
+                return Received::End;
             }
             Ok(None) => {
                 source.flight.end = End::Broken;
-                return Piece::Broken("it ended within an event");
+                return Received::Broken("the answer ended within an event");
             }
-            Err(_) if Instant::now() >= deadline => return Piece::OutOfTime,
-            Err(_) => return Piece::Broken("it fell silent"),
+            Err(_) if Instant::now() >= deadline => return Received::Timeout,
+            Err(_) => return Received::Broken("the replica timed out"),
         };
         let Ok(data) = frame.into_data() else {
-            return Piece::Data(Bytes::new());
+            return Received::Data(Bytes::new());
         };
         source.flight.progress();
-        if !self.events {
-            return Piece::Data(data);
+        if !self.is_event_stream {
+            return Received::Data(data);
         }
         match self.splitter.push(&data) {
-            Ok(whole) => Piece::Data(whole),
-            Err(_) => Piece::Broken("its events are out of order"),
+            Ok(whole) => Received::Data(whole),
+            Err(_) => Received::Broken("an event is too long or out of order"),
         }
     }
 
     fn finish(&mut self) {
-        self.over = true;
-        self.work.note_end();
+        self.has_ended = true;
+        self.work.observe_latency();
         info!(
             target: "gateway",
-            request = self.shown(),
+            request = self.request_id(),
             last_event = self.splitter.last().unwrap_or(0),
             after_ms = self.work.began.elapsed().as_millis() as u64,
             "Stream ended."
         );
         if let Some(mut source) = self.source.take() {
             source.flight.finish(false);
-            let keep = source.keep.map(Duration::from_millis);
-            self.work.gateway.lines.put_back(source.line, keep);
+            let keep = source.keep_ms.map(Duration::from_millis);
+            self.work.gateway.lines.put_back(source.connection, keep);
         }
     }
 
-    fn fail(&mut self, text: &'static str) -> Broken {
-        self.over = true;
+    fn fail(&mut self, text: &'static str) -> BodyError {
+        self.has_ended = true;
         self.source = None;
         warn!(
             target: "gateway",
-            request = self.shown(),
+            request = self.request_id(),
             fingerprint = fingerprint::shown(self.work.fingerprint),
             route = self.work.route.name,
             replica = self.replica(),
             last_event = self.splitter.last().unwrap_or(0),
             after_ms = self.work.began.elapsed().as_millis() as u64,
-            "Stream ends early: {text}."
+            "Stream failed: {text}."
         );
-        Broken { verdict: Verdict::Ran, text }
+        BodyError { verdict: Verdict::Ran, text }
     }
 
-    /// The replica that it was asked of last.
+    /// Returns the replica of the latest attempt.
     fn replica(&self) -> &str {
         self.work.chosen.as_ref().map_or("", |target| &target.replica)
     }
 
-    fn shown(&self) -> &str {
+    fn request_id(&self) -> &str {
         let id = self.work.asked.id.as_ref();
         id.and_then(|id| id.to_str().ok()).unwrap_or("-")
     }
 
-    /// Goes on at another replica; false when that is not possible.
-    async fn go_on(&mut self, why: &'static str) -> bool {
+    /// Resumes the stream at another replica. Returns false when that is not
+    /// possible.
+    async fn resume(&mut self, reason: &'static str) -> bool {
         if let Some(mut source) = self.source.take() {
             if source.flight.end != End::Broken {
                 source.flight.end = End::Failed;
@@ -201,25 +202,25 @@
         if self.work.route.repeat != Repeat::Resumable {
             return false;
         }
-        while Instant::now() < self.work.deadline && self.work.may_repeat() {
+        while Instant::now() < self.work.deadline && self.work.claim_retry() {
             let Some(target) = self.work.pick() else { return false };
             let last = self.splitter.last();
             self.work.chosen = Some(target.clone());
             info!(
                 target: "gateway",
-                request = self.shown(),
+                request = self.request_id(),
                 replica = target.replica,
                 last_event = last.unwrap_or(0),
-                "Stream goes on elsewhere, as {why}."
+                "Stream resumes at another replica: {reason}."
             );
             match self.work.attempt(&target, last).await {
-                Ok(Reply::Streams(source, _)) => {
+                Ok(Reply::Streaming(source, _)) => {
                     self.splitter = Splitter::open(last);
                     self.source = Some(*source);
                     self.work.gateway.metrics.moved.inc();
                     return true;
                 }
-                Ok(Reply::Whole(_)) => {
+                Ok(Reply::Complete(_)) => {
                     let replica = &target.replica;
                     self.work.attempts.note(replica, Verdict::Ran);
                 }
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -1,16 +1,17 @@
-//! The HTTP server that faces clients.
+//! The HTTP server for callers.
 //!
-//! It is hyper's own rather than `xitca-web`'s, for one reason: hyper drops
-//! the handler of a request when the client closes the connection. The
-//! handler owns the connection to the replica, so the replica learns of it
-//! within milliseconds. A server that only notices when it next writes would
-//! leave replicas at work for nobody.
+//! It uses hyper directly rather than `xitca-web` because hyper drops the
+//! handler of a request when the caller closes the connection. The handler
+//! owns the connection to the replica, so the replica notices the close within
+//! milliseconds. With a server that notices a close only on its next write,
+//! replicas would go on computing answers that nobody reads.
 //!
-//! # Slow and idle clients
+//! # Slow and idle callers
 //!
-//! `Guard` wraps each connection and ends it when a head takes too long or
-//! no request comes for too long. hyper's own limit for heads starts with the
-//! end of the last answer, and so would close connections that are just idle.
+//! `Guard` wraps each connection and closes it when a request head takes too
+//! long or when no request arrives within the idle timeout. The timeout that
+//! hyper has for heads starts at the end of the previous answer, so it would
+//! also close idle connections.
 
 use std::{
     convert::Infallible,
@@ -48,36 +49,37 @@
 use super::plan::Limits;
 use crate::verdict::Verdict;
 
-/// Connections served at a time. Half of the descriptors that the smallest
-/// VMs have: the others are for replicas and nodes.
-const CONNECTIONS: usize = 2000;
-/// After a failed accept, as when there are no descriptors left.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// The smallest buffer for heads that hyper takes, in bytes.
-const LEAST_BUFFER: usize = 8192;
+/// Maximum number of callers' connections open at a time: half of the file
+/// descriptors of the smallest VMs. The other half is for connections to
+/// replicas and nodes.
+const MAX_CONNECTIONS: usize = 2000;
+/// Delay after a failed accept, for example when no file descriptors are left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Minimum size of the buffer for heads that hyper accepts, in bytes.
+const MIN_BUFFER_BYTES: usize = 8192;
 
-/// An answer that ended before it was whole.
+/// Error of an answer body that ended before it was complete.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct BodyError {
     /// Whether the request may have run.
     pub verdict: Verdict,
-    /// What happened.
+    /// Description of the failure.
     pub text: &'static str,
 }
 
-impl std::fmt::Display for Broken {
+impl std::fmt::Display for BodyError {
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         out.write_str(self.text)
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for BodyError {}
 
-/// The body of an answer. An error closes the connection, so that what was
-/// sent can't be taken for whole.
-pub type Body = UnsyncBoxBody<Bytes, Broken>;
+/// The body of an answer. An error closes the connection, so that the caller
+/// can't take a partial answer for a complete one.
+pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
-/// A body that is there already.
+/// Returns a body that consists of the given bytes.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
@@ -86,22 +88,23 @@
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
-    stop: Arc<Stop>,
+    stop: Arc<Shutdown>,
     accepting: JoinHandle<()>,
 }
 
 #[derive(Debug)]
-struct Stop {
-    /// Answers ask clients to close.
+struct Shutdown {
+    /// Set when answers ask callers to close the connection.
     closing: AtomicBool,
-    /// Idle connections are closed.
-    last: watch::Sender<bool>,
+    /// Set when idle connections are closed.
+    close_idle: watch::Sender<bool>,
     open: AtomicUsize,
-    ended: Notify,
+    connection_closed: Notify,
 }
 
-/// Serves `listener` with `handler`, by the limits that hold when each
-/// connection begins.
+/// Serves the connections of `listener` with `handler`.
+///
+/// `limits` is called for each new connection and applies to that connection.
 pub fn spawn<H, F>(
     listener: TcpListener,
     limits: impl Fn() -> Limits + Send + Sync + 'static,
@@ -112,11 +115,11 @@
     F: Future<Output = Response<Body>> + Send + 'static,
 {
     let address = listener.local_addr()?;
-    let stop = Arc::new(Stop {
+    let stop = Arc::new(Shutdown {
         closing: AtomicBool::new(false),
-        last: watch::Sender::new(false),
+        close_idle: watch::Sender::new(false),
         open: AtomicUsize::new(0),
-        ended: Notify::new(),
+        connection_closed: Notify::new(),
     });
     let accepting = tokio::spawn(accept(
         listener,
@@ -128,31 +131,31 @@
 }
 
 impl Server {
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// From now on answers ask their clients to close the connection.
+    /// Makes all further answers ask their callers to close the connection.
     pub fn close_after_answers(&self) {
         self.stop.closing.store(true, Ordering::Relaxed);
     }
 
-    /// Takes no new connections, closes idle ones, and waits until all have
-    /// ended or `limit` has passed.
+    /// Stops accepting connections, closes idle ones, and waits until all are
+    /// closed or `limit` has passed.
     pub async fn shutdown(self, limit: Duration) {
         self.accepting.abort();
         self.close_after_answers();
-        let _ = self.stop.last.send_replace(true);
-        let all_ended = async {
+        let _ = self.stop.close_idle.send_replace(true);
+        let all_closed = async {
             while self.stop.open.load(Ordering::Relaxed) > 0 {
-                self.stop.ended.notified().await;
+                self.stop.connection_closed.notified().await;
             }
         };
-        if tokio::time::timeout(limit, all_ended).await.is_err() {
+        if tokio::time::timeout(limit, all_closed).await.is_err() {
             warn!(
                 target: "gateway",
-                "{} connections are cut off at the end.",
+                "Shutdown timed out with {} connections open.",
                 self.stop.open.load(Ordering::Relaxed)
             );
         }
@@ -163,14 +166,14 @@
     listener: TcpListener,
     limits: impl Fn() -> Limits + Send + Sync + 'static,
     handler: Arc<H>,
-    stop: Arc<Stop>,
+    stop: Arc<Shutdown>,
 ) where
     H: Fn(Request<Incoming>) -> F + Send + Sync + 'static,
     F: Future<Output = Response<Body>> + Send + 'static,
 {
-    let places = Arc::new(Semaphore::new(CONNECTIONS));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
-        let Ok(place) = places.clone().acquire_owned().await else { return };
+        let Ok(permit) = permits.clone().acquire_owned().await else { return };
         match listener.accept().await {
             Ok((stream, _)) => {
                 let limits = limits();
@@ -178,24 +181,27 @@
                     serve(stream, limits, handler.clone(), stop.clone());
                 tokio::spawn(async move {
                     serving.await;
-                    drop(place);
+                    drop(permit);
                 });
             }
             Err(error) => {
-                warn!(target: "gateway", "Can't accept: {error}.");
-                sleep(ACCEPT_PAUSE).await;
+                warn!(
+                    target: "gateway",
+                    "Can't accept a connection: {error}."
+                );
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Counts a connection while it is open.
-struct Open(Arc<Stop>);
+/// Counts a connection as open until dropped.
+struct OpenConnection(Arc<Shutdown>);
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, Ordering::Relaxed);
-        self.0.ended.notify_one();
+        self.0.connection_closed.notify_one();
     }
 }
 
@@ -203,13 +209,13 @@
     stream: TcpStream,
     limits: Limits,
     handler: Arc<H>,
-    stop: Arc<Stop>,
+    stop: Arc<Shutdown>,
 ) where
     H: Fn(Request<Incoming>) -> F + Send + Sync + 'static,
     F: Future<Output = Response<Body>> + Send + 'static,
 {
     stop.open.fetch_add(1, Ordering::Relaxed);
-    let open = Open(stop.clone());
+    let open = OpenConnection(stop.clone());
     let _ = stream.set_nodelay(true);
     let phase = Arc::new(Phase::default());
     let guard = Guard::new(stream, limits, phase.clone());
@@ -223,19 +229,19 @@
                 let close = HeaderValue::from_static("close");
                 answer.headers_mut().insert(header::CONNECTION, close);
             }
-            let answer = answer.map(|body| Last { body, phase });
+            let answer = answer.map(|body| TrackedBody { body, phase });
             Ok::<_, Infallible>(answer)
         }
     });
     let connection = http1::Builder::new()
-        .max_buf_size((limits.head_bytes + 1024).max(LEAST_BUFFER))
+        .max_buf_size((limits.head_bytes + 1024).max(MIN_BUFFER_BYTES))
         .auto_date_header(false)
         .serve_connection(TokioIo::new(guard), service);
     let mut connection = std::pin::pin!(connection);
-    let mut last = open.0.last.subscribe();
+    let mut close_idle = open.0.close_idle.subscribe();
     let stopping = async move {
-        // The sender lives as long as the connection is counted.
-        let _ = last.wait_for(|last| *last).await;
+        // `open` keeps the sender alive for as long as the connection.
+        let _ = close_idle.wait_for(|close_idle| *close_idle).await;
     };
     let result = tokio::select! {
         result = connection.as_mut() => result,
@@ -245,30 +251,30 @@
         }
     };
     if let Err(error) = result {
-        debug!(target: "gateway", "Connection ended: {error}.");
+        debug!(target: "gateway", "Connection failed: {error}.");
     }
 }
 
-/// Marks the connection idle again once the answer has been handed over.
-struct Last {
+/// An answer body that marks its connection idle when hyper drops it.
+struct TrackedBody {
     body: Body,
     phase: Arc<Phase>,
 }
 
-impl Drop for Last {
+impl Drop for TrackedBody {
     fn drop(&mut self) {
         self.phase.set(Phase::IDLE);
     }
 }
 
-impl hyper::body::Body for Last {
+impl hyper::body::Body for TrackedBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         Pin::new(&mut self.body).poll_frame(context)
     }
 
@@ -281,12 +287,13 @@
     }
 }
 
-/// What a connection is waiting for.
+/// The state of a connection: idle, reading a request head, or busy with a
+/// request.
 #[derive(Debug, Default)]
 struct Phase {
     now: AtomicU8,
-    /// Woken when the connection becomes idle: its reader has looked before,
-    /// and nothing else would start the time limit.
+    /// Woken when the connection becomes idle. The reader was last polled
+    /// before that, and nothing else would poll it to start the idle timeout.
     reader: AtomicWaker,
 }
 
@@ -307,17 +314,17 @@
     }
 }
 
-/// A connection that ends when its client is too slow.
+/// A connection that ends when its caller is too slow.
 ///
-/// Without it, clients that send a byte now and then hold their connections
-/// for ever; one would see the number of open connections grow until none is
-/// accepted any more.
+/// Without it, callers that send a byte now and then hold their connections
+/// forever, and the number of open connections grows until no more are
+/// accepted.
 struct Guard {
     stream: TcpStream,
     limits: Limits,
     phase: Arc<Phase>,
-    /// The phase that `until` was set for.
-    timed: Option<u8>,
+    /// The phase that `until` was set for, `None` while busy.
+    timed_phase: Option<u8>,
     until: Pin<Box<Sleep>>,
 }
 
@@ -327,25 +334,25 @@
             stream,
             limits,
             phase,
-            timed: None,
+            timed_phase: None,
             until: Box::pin(sleep(Duration::ZERO)),
         }
     }
 
-    /// True once the client has used up its time.
-    fn is_late(&mut self, context: &mut Context<'_>) -> bool {
+    /// Returns true once the timeout of the current phase has passed.
+    fn is_timed_out(&mut self, context: &mut Context<'_>) -> bool {
         let phase = self.phase.get();
         let limit = match phase {
             Phase::IDLE => self.limits.idle_ms,
             Phase::HEAD => self.limits.head_ms,
             _ => {
-                self.timed = None;
+                self.timed_phase = None;
                 self.phase.reader.register(context.waker());
                 return false;
             }
         };
-        if self.timed != Some(phase) {
-            self.timed = Some(phase);
+        if self.timed_phase != Some(phase) {
+            self.timed_phase = Some(phase);
             let until = Instant::now() + Duration::from_millis(limit);
             self.until.as_mut().reset(until);
         }
@@ -363,14 +370,14 @@
         let read = Pin::new(&mut self.stream).poll_read(context, buffer);
         match read {
             Poll::Ready(result) => {
-                let came = buffer.filled().len() > before;
-                if came && self.phase.get() == Phase::IDLE {
+                let has_received = buffer.filled().len() > before;
+                if has_received && self.phase.get() == Phase::IDLE {
                     self.phase.set(Phase::HEAD);
                 }
                 Poll::Ready(result)
             }
-            // Nothing read and no error: the end of the stream.
-            Poll::Pending if self.is_late(context) => Poll::Ready(Ok(())),
+            // Ready without bytes or an error means the end of the stream.
+            Poll::Pending if self.is_timed_out(context) => Poll::Ready(Ok(())),
             Poll::Pending => Poll::Pending,
         }
     }
--- a/src/gateway/upstream.rs
+++ b/src/gateway/upstream.rs
@@ -1,12 +1,13 @@
-//! Connections to replicas, and one exchange over one of them.
+//! Connections to replicas, and the exchange of one request and its answer.
 //!
-//! Connections are kept by replica, not by address: an address is used again
-//! by another replica, of another service perhaps. A [`Line`] that is dropped
-//! before its answer was read to the end closes its connection, and the
-//! replica stops working on what nobody waits for any more.
+//! Idle connections are pooled by replica, not by address: an address may be
+//! reused by another replica, perhaps of another service. Dropping a
+//! [`Connection`] before its answer was read to the end closes it, so the
+//! replica can stop work on an answer that nobody reads.
 //!
-//! What a failure says about the request is as exact as it can be: "not run"
-//! only when no byte of it can have reached the replica.
+//! An error says as exactly as possible whether the request may have run. The
+//! verdict is "not run" only when no byte of the request can have reached the
+//! replica.
 
 use std::{
     io,
@@ -28,87 +29,91 @@
 
 use crate::{util::common, verdict::Verdict};
 
-/// How long a new connection may take. Links of a deployment take a few
-/// milliseconds; beyond this the replica is down or cut off, and there is
-/// time to ask another one within most targets.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
-/// How long an idle connection is kept when the replica does not say.
-const KEEP: Duration = Duration::from_millis(3000);
-/// A connection is given up this long before the replica would close it: a
-/// request that crosses the close can't be told from one that ran.
-const KEEP_MARGIN: Duration = Duration::from_millis(700);
-/// Bodies up to this many bytes leave in one write, before any answer can
-/// come. Behind a longer one a connection is not used again: an early answer
-/// may leave the replica waiting for bytes that never come.
-const SHORT_BODY: usize = 16 * 1024;
-/// Idle connections kept to one replica.
-const IDLE_PER_REPLICA: usize = 32;
+/// Time after which opening a connection fails. Links within a deployment take
+/// a few milliseconds. After this time the replica is down or unreachable, and
+/// most targets leave enough time to try another replica.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time for which an idle connection is kept when the replica does not
+/// announce its own.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_millis(3000);
+/// An idle connection is discarded this long before the replica would close
+/// it. A request that is sent while the replica closes the connection can't be
+/// told from one that ran.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
+/// Maximum size of a body after which a connection may be reused, in bytes.
+///
+/// Such a body is sent in one write, before any answer can arrive. After a
+/// longer body the connection is not reused: after an early answer the replica
+/// may still be waiting for bytes of the body that are never sent.
+const MAX_REUSE_BODY_BYTES: usize = 16 * 1024;
+/// Maximum number of idle connections kept to one replica.
+const MAX_IDLE_PER_REPLICA: usize = 32;
 
 type Sender = http1::SendRequest<Full<Bytes>>;
 
 /// Why an exchange failed, and whether the request may have run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Failed {
+pub struct Error {
     /// Whether the replica may have run it.
     pub verdict: Verdict,
     /// Whether any byte was sent to the replica.
     pub sent: bool,
-    /// What became of the connection.
+    /// What the connection showed about the replica.
     pub fault: Fault,
-    /// What happened, for the log.
+    /// Description of the failure, for the log.
     pub text: String,
 }
 
 common! {
     copy
-    /// What became of the connection on which an exchange failed.
+    /// How the connection of a failed exchange failed.
     pub enum Fault {
-        /// Nobody listens at the replica's address.
+        /// The connection was refused: no process listens at the address.
         Refused,
-        /// The replica closed it before its answer was whole.
+        /// The replica closed the connection before its answer was complete.
         Broken,
-        /// Nothing that says how the replica is.
+        /// Any failure that says nothing about the state of the replica.
         Other,
     }
 }
 
-impl Failed {
-    fn unsent(text: impl ToString) -> Failed {
+impl Error {
+    fn not_sent(text: impl ToString) -> Error {
         let text = text.to_string();
         let fault = Fault::Other;
-        Failed { verdict: Verdict::NotRun, sent: false, fault, text }
+        Error { verdict: Verdict::NotRun, sent: false, fault, text }
     }
 
-    fn doubtful(text: impl ToString) -> Failed {
+    fn may_have_run(text: impl ToString) -> Error {
         let text = text.to_string();
         let fault = Fault::Other;
-        Failed { verdict: Verdict::MayHaveRun, sent: true, fault, text }
+        Error { verdict: Verdict::MayHaveRun, sent: true, fault, text }
     }
 
-    fn broken(text: impl ToString) -> Failed {
-        Failed { fault: Fault::Broken, ..Failed::doubtful(text) }
+    fn connection_broken(text: impl ToString) -> Error {
+        Error { fault: Fault::Broken, ..Error::may_have_run(text) }
     }
 
-    fn unconnected(error: &io::Error) -> Failed {
+    fn not_connected(error: &io::Error) -> Error {
         let fault = match error.kind() {
             io::ErrorKind::ConnectionRefused => Fault::Refused,
             _ => Fault::Other,
         };
-        Failed { fault, ..Failed::unsent(error) }
+        Error { fault, ..Error::not_sent(error) }
     }
 }
 
-/// One connection, in use by one request.
+/// A connection to a replica, in use by one request.
 #[derive(Debug)]
-pub struct Line {
+pub struct Connection {
     replica: String,
     address: SocketAddrV4,
     sender: Sender,
-    // Ends the connection when the line is dropped.
+    // Closes the connection when dropped.
     _task: Task,
-    /// It was made for this request.
+    /// True when the connection was opened for this request.
     pub fresh: bool,
-    long_body: bool,
+    had_long_body: bool,
 }
 
 #[derive(Debug)]
@@ -122,130 +127,148 @@
 
 #[derive(Debug)]
 struct Idle {
-    line: Line,
+    connection: Connection,
     until: Instant,
 }
 
-/// All idle connections of one gateway.
+/// The idle connections of one gateway.
 #[derive(Debug, Default)]
-pub struct Lines {
-    /// The newest last.
+pub struct Pool {
+    /// In the order in which they became idle.
     idle: Mutex<Vec<Idle>>,
 }
 
-impl Lines {
+impl Pool {
     fn idle(&self) -> MutexGuard<'_, Vec<Idle>> {
-        self.idle.lock().unwrap_or_else(|held| held.into_inner())
+        self.idle.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// A connection to a replica: the one used last, or a new one.
+    /// Returns a connection to a replica: the most recently used idle one, or
+    /// a new one.
     ///
     /// # Errors
     ///
-    /// When no connection can be made before `deadline`; nothing was sent.
+    /// Returns an error when a new connection fails, or is not open before
+    /// `deadline` or within `CONNECT_TIMEOUT`. Nothing was sent then.
     pub async fn take(
         &self,
         replica: &str,
         address: SocketAddrV4,
         deadline: Instant,
-    ) -> Result<Line, Failed> {
-        if let Some(line) = self.take_idle(replica) {
-            return Ok(line);
+    ) -> Result<Connection, Error> {
+        if let Some(connection) = self.take_idle(replica) {
+            return Ok(connection);
         }
-        let until = deadline.min(Instant::now() + CONNECT_LIMIT);
+        let until = deadline.min(Instant::now() + CONNECT_TIMEOUT);
         match timeout_at(until, connect(replica, address)).await {
             Ok(made) => made,
-            Err(_) => Err(Failed::unsent("connecting timed out")),
+            Err(_) => Err(Error::not_sent("connection timed out")),
         }
     }
 
-    /// Whether a replica has ended, by a new connection to it, which is kept.
+    /// Returns true when a replica refuses a new connection, which shows that
+    /// it has crashed. A connection that opens is added to the pool.
     ///
-    /// False as well where that can't be told: a machine without power and
-    /// one behind a cut are both silent.
+    /// Also returns false when the connection times out: a VM without power
+    /// and a VM behind a network partition can't be told apart.
     pub async fn has_ended(
         &self,
         replica: &str,
         address: SocketAddrV4,
     ) -> bool {
-        match timeout(CONNECT_LIMIT, connect(replica, address)).await {
-            Ok(Ok(line)) => {
-                self.put_back(line, None);
+        match timeout(CONNECT_TIMEOUT, connect(replica, address)).await {
+            Ok(Ok(connection)) => {
+                self.put_back(connection, None);
                 false
             }
-            Ok(Err(failed)) => failed.fault == Fault::Refused,
+            Ok(Err(error)) => error.fault == Fault::Refused,
             Err(_) => false,
         }
     }
 
-    fn take_idle(&self, replica: &str) -> Option<Line> {
+    fn take_idle(&self, replica: &str) -> Option<Connection> {
         let now = Instant::now();
         let mut idle = self.idle();
-        idle.retain(|one| now < one.until && !one.line.sender.is_closed());
-        let at = idle.iter().rposition(|one| {
-            one.line.replica == replica && one.line.sender.is_ready()
+        idle.retain(|pooled| {
+            now < pooled.until && !pooled.connection.sender.is_closed()
+        });
+        let at = idle.iter().rposition(|pooled| {
+            pooled.connection.replica == replica
+                && pooled.connection.sender.is_ready()
         })?;
-        let mut line = idle.remove(at).line;
-        line.fresh = false;
-        Some(line)
+        let mut connection = idle.remove(at).connection;
+        connection.fresh = false;
+        Some(connection)
     }
 
-    /// Keeps a connection whose answer was read to the end.
+    /// Returns a connection to the pool after its answer was read to the end.
     ///
-    /// `keep` is how long the replica keeps it, if it said so.
-    pub fn put_back(&self, line: Line, keep: Option<Duration>) {
-        let keep = keep.unwrap_or(KEEP).saturating_sub(KEEP_MARGIN);
-        if line.long_body || keep.is_zero() || line.sender.is_closed() {
+    /// `keep` is how long the replica keeps the idle connection open, if it
+    /// announced that.
+    pub fn put_back(&self, connection: Connection, keep: Option<Duration>) {
+        let keep = keep
+            .unwrap_or(DEFAULT_KEEP_ALIVE)
+            .saturating_sub(KEEP_ALIVE_MARGIN);
+        if connection.had_long_body
+            || keep.is_zero()
+            || connection.sender.is_closed()
+        {
             return;
         }
         let mut idle = self.idle();
-        let same = idle.iter().filter(|one| one.line.replica == line.replica);
-        if same.count() < IDLE_PER_REPLICA {
-            idle.push(Idle { line, until: Instant::now() + keep });
+        let same = idle
+            .iter()
+            .filter(|pooled| pooled.connection.replica == connection.replica);
+        if same.count() < MAX_IDLE_PER_REPLICA {
+            idle.push(Idle { connection, until: Instant::now() + keep });
         }
     }
 
-    /// Closes the idle connections to replicas that `keep` refuses.
+    /// Closes the idle connections to replicas for which `keep` returns false.
     pub fn retain(&self, keep: impl Fn(&str) -> bool) {
         let now = Instant::now();
-        self.idle().retain(|one| {
-            now < one.until
-                && !one.line.sender.is_closed()
-                && keep(&one.line.replica)
+        self.idle().retain(|pooled| {
+            now < pooled.until
+                && !pooled.connection.sender.is_closed()
+                && keep(&pooled.connection.replica)
         });
     }
 }
 
-impl Line {
-    /// Sends a request and waits for the head of its answer.
+impl Connection {
+    /// Sends a request and waits up to `max_silence` for the head of its
+    /// answer.
     ///
     /// # Errors
     ///
-    /// "Not run" when the connection was closed before anything was sent.
+    /// The verdict is "not run" when the connection was closed before any byte
+    /// was sent, otherwise "may have run".
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
         body_bytes: usize,
-        silence: Duration,
-    ) -> Result<Response<Incoming>, Failed> {
-        self.long_body = body_bytes > SHORT_BODY;
+        max_silence: Duration,
+    ) -> Result<Response<Incoming>, Error> {
+        self.had_long_body = body_bytes > MAX_REUSE_BODY_BYTES;
         let sent = self.sender.try_send_request(request);
-        match timeout(silence, sent).await {
+        match timeout(max_silence, sent).await {
             Ok(Ok(response)) => Ok(response),
             Ok(Err(mut failed)) => match failed.take_message() {
-                Some(_) => Err(Failed::unsent(failed.error())),
-                None => Err(Failed::broken(failed.error())),
+                Some(_) => Err(Error::not_sent(failed.error())),
+                None => Err(Error::connection_broken(failed.error())),
             },
-            Err(_) => Err(Failed::doubtful("no answer in time")),
+            Err(_) => {
+                Err(Error::may_have_run("the replica did not answer in time"))
+            }
         }
     }
 
-    /// The replica it leads to.
+    /// Returns the id of the replica.
     pub fn replica(&self) -> &str {
         &self.replica
     }
 
-    /// Where that is.
+    /// Returns the address of the replica.
     pub fn address(&self) -> SocketAddrV4 {
         self.address
     }
@@ -254,24 +277,24 @@
 async fn connect(
     replica: &str,
     address: SocketAddrV4,
-) -> Result<Line, Failed> {
+) -> Result<Connection, Error> {
     let stream = TcpStream::connect(address)
         .await
-        .map_err(|error| Failed::unconnected(&error))?;
+        .map_err(|error| Error::not_connected(&error))?;
     let _ = stream.set_nodelay(true);
     let (sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
-        .map_err(Failed::unsent)?;
+        .map_err(Error::not_sent)?;
     let task = tokio::spawn(async move {
-        // Its error reaches the request that is under way.
+        // The request in flight receives the connection's error.
         let _ = connection.await;
     });
-    Ok(Line {
+    Ok(Connection {
         replica: replica.to_owned(),
         address,
         sender,
         _task: Task(task),
         fresh: true,
-        long_body: false,
+        had_long_body: false,
     })
 }
