--- a/tests/all/gateway.rs
+++ b/tests/all/gateway.rs
@@ -1,7 +1,5 @@
-//! A gateway between raw clients and raw replicas.
-//!
-//! Both sides are plain TCP here, so that a test decides every byte that goes
-//! over the wire, also the wrong ones.
+//! Tests of a gateway between callers and replicas that are plain TCP sockets,
+//! so that a test controls every byte on the wire and can send invalid ones.
 
 use std::{sync::atomic::Ordering, time::Duration};
 
@@ -17,14 +15,13 @@
     is_whole, ok, read_answer, sighting, status,
 };
 
-// ---- What clients send ------------------------------------------------------
+// ---- Requests from callers -------------------------------------------------
 
-/// Symptom: one request is answered twice, and the second answer belongs to
-/// bytes that the client sent as a body. Sequence: a request names an unknown
-/// transfer coding; the body is left unread and parsed as the next request.
-/// Cause: a server that takes a coding that it does not know for none.
+/// Guards against request smuggling: a server that ignores an unknown transfer
+/// coding leaves the body unread, and parses and answers it as another
+/// request.
 #[tokio::test]
-async fn an_unknown_transfer_coding_smuggles_nothing() {
+async fn unknown_transfer_coding_does_not_smuggle_a_request() {
     let mut replica = Replica::spawn(|_| ok("fine")).await;
     let world = World::open(&[("r", replica.address)]).await;
     let inner = "GET /again/inner HTTP/1.1\r\nHost: here\r\n\r\n";
@@ -39,9 +36,9 @@
     assert_eq!(replica.seen(), Vec::<String>::new());
 }
 
-/// Symptom: a request runs under a route that its client did not mean.
-/// Sequence: it names two hosts, or none, and is served all the same. Cause:
-/// the first or the last one counts, differently at each hop.
+/// Guards against requests that are routed by a host that the caller did not
+/// mean: with two Host headers one hop may use the first and another hop the
+/// last.
 #[tokio::test]
 async fn a_request_needs_exactly_one_host() {
     let replica = Replica::spawn(|_| ok("fine")).await;
@@ -53,10 +50,10 @@
     }
 }
 
-/// Symptom: two hops disagree on where a body ends. Cause: lengths that are
-/// no plain number, or two of them, are taken by one of the hops.
+/// Guards against two hops that disagree on where a body ends, because one of
+/// them accepts a Content-Length that is not a plain number, or two of them.
 #[tokio::test]
-async fn lengths_that_are_not_one_plain_number_are_refused() {
+async fn invalid_content_lengths_are_refused() {
     let mut replica = Replica::spawn(|_| ok("fine")).await;
     let world = World::open(&[("r", replica.address)]).await;
     for length in ["+4", "-1", "4, 5", "0x4", "4\r\nContent-Length: 5"] {
@@ -70,8 +67,8 @@
     assert_eq!(replica.seen(), Vec::<String>::new());
 }
 
-/// Symptom: memory grows with bodies that will be refused anyway. Cause: the
-/// length is only looked at once the body is there.
+/// Guards against buffering bodies that are refused anyway, because the length
+/// is checked only after the whole body has arrived.
 #[tokio::test]
 async fn a_body_beyond_the_limit_is_refused_before_it_is_sent() {
     let replica = Replica::spawn(|_| ok("fine")).await;
@@ -93,21 +90,21 @@
     assert_eq!(status(&answer), "413");
 }
 
-/// Symptom: the process is killed for its memory, with all its requests.
-/// Sequence: many clients send long bodies at the same time, each within the
-/// limit. Cause: only each body by itself was bounded.
+/// Guards against running out of memory, which kills the process with all its
+/// requests, when many callers send long bodies at once and only the size of
+/// each body is limited.
 #[tokio::test]
-async fn bodies_are_bounded_together_and_room_is_given_back() {
+async fn bodies_share_a_memory_budget_that_is_released() {
     let replica = Replica::spawn(|_| ok("fine")).await;
     let world = World::open(&[("r", replica.address)]).await;
     let head = "POST /again/x HTTP/1.1\r\nHost: here\r\n\
                 Content-Length: 10000\r\n\r\n";
-    let mut held = Vec::new();
+    let mut clients = Vec::new();
     for _ in 0..3 {
         let mut client = TcpStream::connect(world.front).await.unwrap();
         let part = format!("{head}{}", "x".repeat(9900));
         client.write_all(part.as_bytes()).await.unwrap();
-        held.push(client);
+        clients.push(client);
     }
     let whole = format!("{head}{}", "x".repeat(10_000));
     let refused = async {
@@ -118,22 +115,23 @@
             }
         }
     };
-    let answer = timeout(PATIENCE, refused).await.expect("all were taken");
+    let answer =
+        timeout(PATIENCE, refused).await.expect("every body was accepted");
     assert!(answer.to_lowercase().contains("retry-after"), "{answer}");
-    drop(held);
+    drop(clients);
     let served = async {
         while status(&world.exchange(&whole).await) != "200" {
             sleep(Duration::from_millis(10)).await;
         }
     };
-    timeout(PATIENCE, served).await.expect("room was never given back");
+    timeout(PATIENCE, served).await.expect("the memory was never released");
 }
 
-/// Symptom: memory grows with a replica's answer, and the client waits for
-/// all of it. Sequence: a long answer comes in chunks, without a length.
-/// Cause: only the length in the head was compared to what is kept whole.
+/// Guards against buffering a long answer, for which the caller has to wait: a
+/// chunked answer has no length in its head, so the size has to be checked as
+/// it arrives.
 #[tokio::test]
-async fn a_long_answer_in_chunks_is_passed_on_as_it_comes() {
+async fn long_chunked_answer_is_streamed() {
     let replica = Replica::spawn(|_| {
         let chunk = format!("{:x}\r\n{}\r\n", 50_000, "y".repeat(50_000));
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -149,7 +147,7 @@
     client.write_all(request.as_bytes()).await.unwrap();
     let mut read = vec![0; 400_000];
     let all = timeout(PATIENCE, client.read_exact(&mut read)).await;
-    assert!(all.is_ok_and(|read| read.is_ok()), "not passed on");
+    assert!(all.is_ok_and(|read| read.is_ok()), "not forwarded");
 }
 
 #[tokio::test]
@@ -165,20 +163,19 @@
     assert_eq!(status(&answer), "431");
 }
 
-/// Symptom: the number of open connections grows until none is accepted.
-/// Sequence: clients send half a head and then nothing. Cause: only whole
-/// requests have a time limit.
+/// Guards against connections that stay open until no more are accepted, when
+/// callers stop within a request head and only complete requests time out.
 #[tokio::test]
-async fn a_client_that_stops_within_a_head_is_cut_off() {
+async fn caller_that_stalls_within_a_head_is_disconnected() {
     let replica = Replica::spawn(|_| ok("fine")).await;
     let world = World::open(&[("r", replica.address)]).await;
     let answer = world.exchange("GET /again/x HTTP/1.1\r\nHos").await;
     assert_ne!(status(&answer), "200");
 }
 
-/// Symptom: requests on kept connections fail at random. Sequence: a client
-/// reuses a connection after a pause that the limits allow; the server has
-/// closed it. Cause: the limit for a head also runs while nothing is sent.
+/// Guards against random failures on reused connections: if the head timeout
+/// also runs while a connection is idle, the server closes it although the
+/// idle timeout has not passed.
 #[tokio::test]
 async fn a_connection_may_be_idle_for_longer_than_a_head_may_take() {
     let replica = Replica::spawn(|_| ok("fine")).await;
@@ -188,14 +185,14 @@
     for _ in 0..2 {
         stream.write_all(request).await.unwrap();
         assert_eq!(status(&read_answer(&mut stream).await), "200");
-        // Twice the limit for a head, half of that for idle connections.
+        // Twice the head timeout, about half of the idle timeout.
         sleep(Duration::from_millis(800)).await;
     }
 }
 
-/// Symptom: connections that nobody uses stay open for good. Sequence: a
-/// client is answered and sends nothing more. Cause: the limit was set only
-/// when the connection was next read, which nothing caused.
+/// Guards against idle connections that stay open forever: after an answer
+/// nothing polls the connection, so an idle timeout that is set on the next
+/// read never starts.
 #[tokio::test]
 async fn a_connection_that_stays_idle_is_closed() {
     let replica = Replica::spawn(|_| ok("fine")).await;
@@ -206,14 +203,14 @@
     assert_eq!(status(&read_answer(&mut stream).await), "200");
     let mut buffer = [0; 64];
     let closed = timeout(PATIENCE, stream.read(&mut buffer)).await;
-    assert_eq!(closed.expect("still open").unwrap(), 0);
+    assert_eq!(closed.expect("the connection is still open").unwrap(), 0);
 }
 
-/// Symptom: replicas work on answers that nobody reads. Sequence: a client
-/// sends a request and closes; the replica is still at work. Cause: a server
-/// that notices a close only when it next writes.
+/// Guards against replicas that go on computing an answer after the caller has
+/// closed the connection, because the server notices the close only on its
+/// next write.
 #[tokio::test]
-async fn a_client_that_leaves_frees_the_replica() {
+async fn caller_disconnect_closes_the_replica_connection() {
     for path in ["/again/x", "/once/x", "/stream/x", "/resume/x"] {
         let mut replica = Replica::spawn(|_| vec![HANG.to_owned()]).await;
         let world = World::open(&[("r", replica.address)]).await;
@@ -231,9 +228,10 @@
     }
 }
 
-/// As above, with a stream that has begun and then has nothing to say.
+/// As above, with a stream that has begun and then sends nothing.
 #[tokio::test]
-async fn a_client_that_leaves_a_quiet_stream_frees_the_replica() {
+async fn caller_disconnect_from_a_silent_stream_closes_the_replica_connection()
+{
     let replica = Replica::spawn(|_| {
         let mut pieces = events(1..=2);
         pieces.push(HANG.to_owned());
@@ -252,7 +250,9 @@
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(PATIENCE, freed).await.expect("the replica still works");
+    timeout(PATIENCE, freed)
+        .await
+        .expect("the replica's connection is still open");
 }
 
 #[tokio::test]
@@ -274,10 +274,11 @@
     assert!(read.find("/again/1") < read.find("/again/2"), "{read}");
 }
 
-/// Symptom: a client acts in the name of another team, or its key is seen by
-/// a replica. Cause: headers that only the system may set are passed on.
+/// Guards against a caller that impersonates another team, or whose API key
+/// reaches a replica, because headers that only the gateway may set are
+/// forwarded.
 #[tokio::test]
-async fn only_the_system_says_whose_request_it_is() {
+async fn callers_cannot_set_the_team_header() {
     let mut replica = Replica::spawn(|_| ok("fine")).await;
     let world = World::open(&[("r", replica.address)]).await;
     let answer = world
@@ -298,7 +299,7 @@
 }
 
 #[tokio::test]
-async fn a_team_beyond_its_quota_is_told_when_to_come_back() {
+async fn request_over_the_quota_gets_a_retry_delay() {
     let replica = Replica::spawn(|_| ok("fine")).await;
     let world = World::open(&[("r", replica.address)]).await;
     let request = "GET /team/x HTTP/1.1\r\nHost: here\r\nKey: sesame\r\n\r\n";
@@ -306,7 +307,8 @@
     for _ in 0..5 {
         answers.push(world.exchange(request).await);
     }
-    let served = answers.iter().filter(|one| status(one) == "200").count();
+    let served =
+        answers.iter().filter(|answer| status(answer) == "200").count();
     assert!((3..5).contains(&served), "{served} of a burst of 3");
     let refused = answers.last().unwrap();
     assert_eq!(status(refused), "429");
@@ -314,11 +316,11 @@
     assert!(refused.contains("azuremount-verdict: not run"), "{refused}");
 }
 
-// ---- What replicas do -------------------------------------------------------
+// ---- Answers from replicas -------------------------------------------------
 
-/// Symptom: an offer is confirmed twice. Sequence: the replica reads the
-/// request and closes without an answer; the request is sent again. Cause: a
-/// close after the first byte is taken for "not run".
+/// Guards against running a request twice, for example confirming an offer
+/// twice: the replica reads the request and closes the connection without an
+/// answer, and the gateway takes that for "not run" and retries.
 #[tokio::test]
 async fn a_request_that_may_have_run_is_not_sent_again() {
     let mut one = Replica::spawn(|_| Vec::new()).await;
@@ -342,10 +344,10 @@
     }
 }
 
-/// Symptom: a client is told "not run" of a request that ran, or is not told
-/// when to come back. Here every replica proves that it did not run it.
+/// Guards against a wrong "not run" verdict and a missing `Retry-After`. Here
+/// every replica declares that it did not run the request.
 #[tokio::test]
-async fn a_request_that_nobody_ran_may_come_back() {
+async fn request_that_no_replica_ran_gets_a_retry_delay() {
     let one = Replica::spawn(|_| full()).await;
     let two = Replica::spawn(|_| full()).await;
     let world =
@@ -357,7 +359,7 @@
 }
 
 #[tokio::test]
-async fn a_full_replica_is_passed_over_even_for_what_must_run_once() {
+async fn non_idempotent_request_is_retried_after_a_full_replica() {
     let one = Replica::spawn(|_| full()).await;
     let two = Replica::spawn(|_| ok("fine")).await;
     let world =
@@ -367,11 +369,10 @@
     }
 }
 
-/// Symptom: a client gets somebody else's answer. Sequence: a replica sends
-/// an extra answer late, where the next one is expected. Cause: answers are
-/// matched by their order alone.
+/// Guards against sending a caller the answer to another request: a replica
+/// sends an extra answer late, and answers are matched only by their order.
 #[tokio::test]
-async fn an_answer_to_another_request_is_not_passed_on() {
+async fn answer_to_another_request_is_not_forwarded() {
     let replica = Replica::spawn(|_| {
         vec![
             "HTTP/1.1 200 OK\r\nId: other\r\nContent-Length: 6\r\n\r\nsecret"
@@ -386,10 +387,11 @@
     assert!(!answer.contains("secret"), "{answer}");
 }
 
-/// Symptom: half an answer is taken for whole. Sequence: the replica breaks
-/// off within its body. Cause: the head went out before the body was there.
+/// Guards against a partial answer that looks complete: the replica closes the
+/// connection within the body after the gateway has already forwarded the
+/// head.
 #[tokio::test]
-async fn a_broken_answer_is_never_passed_on_as_whole() {
+async fn broken_answer_is_not_forwarded_as_complete() {
     let broken = |_: &str| {
         vec![
             "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf".to_owned(),
@@ -402,11 +404,11 @@
     assert_eq!(status(&answer), "502", "{answer}");
 }
 
-/// Symptom: a stream ends early and looks complete, or events are missing or
-/// doubled after it went on elsewhere. Sequence: the first replica dies in
-/// the middle of event 4; the second goes on behind event 3.
+/// Guards against streams that end early but look complete, and against
+/// missing or duplicate events after a resume. The first replica stops within
+/// event 4, and the second one resumes after event 3.
 #[tokio::test]
-async fn a_stream_goes_on_behind_the_last_whole_event() {
+async fn stream_resumes_after_the_last_whole_event() {
     let respond = |head: &str| {
         if head.contains("last: 3") {
             return ended(events(4..=6));
@@ -426,9 +428,9 @@
 }
 
 /// As above, where the answer has no length and ends with its connection: the
-/// close alone does not say that the stream is whole.
+/// close alone does not show that the stream is complete.
 #[tokio::test]
-async fn a_stream_that_closes_within_an_event_goes_on() {
+async fn stream_that_closes_within_an_event_is_resumed() {
     let respond = |head: &str| {
         let mut pieces = vec!["HTTP/1.1 200 OK\r\n\r\n".to_owned()];
         pieces.push(match head.contains("last: 1") {
@@ -448,10 +450,10 @@
     assert!(is_whole(&answer), "{answer}");
 }
 
-/// As above on a route whose streams can't be resumed: what the client got
-/// must look cut off, and nothing runs a second time.
+/// As above, on a route whose streams can't be resumed: the caller's answer
+/// must be visibly incomplete, and the request must not run a second time.
 #[tokio::test]
-async fn a_broken_stream_looks_broken() {
+async fn broken_stream_without_resume_is_visibly_incomplete() {
     let respond = |_: &str| {
         let mut pieces = events(1..=3);
         pieces.push(CLOSE.to_owned());
@@ -467,18 +469,18 @@
     assert_eq!(one.seen().len() + two.seen().len(), 1);
 }
 
-/// Symptom: a replica that is leaving goes on getting requests. Sequence: it
-/// says that it leaves; a heartbeat from before that arrives late. Cause: the
-/// late one counts as its newest word.
+/// Guards against sending requests to a leaving replica: an older heartbeat
+/// arrives after the one that announces the departure, and is taken for the
+/// replica's latest state.
 #[tokio::test]
-async fn a_leaving_replica_stays_left_alone() {
+async fn leaving_replica_gets_no_requests() {
     let mut one = Replica::spawn(|_| ok("one")).await;
     let mut two = Replica::spawn(|_| ok("two")).await;
     let world =
         World::open(&[("one", one.address), ("two", two.address)]).await;
     let leaving = 1;
-    let says = sighting("one", one.address, leaving);
-    world.node.sight(Sighting { sequence: 7, ..says });
+    let heartbeat = sighting("one", one.address, leaving);
+    world.node.sight(Sighting { sequence: 7, ..heartbeat });
     world.node.sight(sighting("one", one.address, 0));
     world
         .node
@@ -490,11 +492,11 @@
     assert_eq!(two.seen().len(), 6);
 }
 
-/// Symptom: a connection that is used again carries bytes of an old body.
-/// Sequence: a replica answers before it has read a long body and keeps the
-/// connection. Cause: the connection goes back to the idle ones.
+/// Guards against reused connections that carry bytes of an old body: a
+/// replica answers before it has read a long body, and the connection is
+/// returned to the pool.
 #[tokio::test]
-async fn an_early_answer_to_a_long_body_costs_the_connection() {
+async fn connection_is_not_reused_after_an_early_answer_to_a_long_body() {
     let early = |_: &str| ok("early");
     let mut replica = Replica::spawn(early).await;
     let world = World::open(&[("r", replica.address)]).await;
@@ -511,8 +513,8 @@
     }
 }
 
-/// Symptom: a stop cuts requests off. Sequence: a request runs; the node is
-/// told to stop; the replica answers after that.
+/// Guards against a shutdown that cuts off requests in flight: the node is
+/// shut down while a request runs, and the replica answers afterwards.
 #[tokio::test]
 async fn a_stop_finishes_what_runs() {
     let mut replica = Replica::spawn(|_| {
