--- a/tests/all/relay.rs
+++ b/tests/all/relay.rs
@@ -1,4 +1,4 @@
-//! A userland relay between two processes, whose link can go silent.
+//! A TCP proxy between two processes that can silently drop the link.
 
 use std::{
     net::SocketAddr,
@@ -20,16 +20,16 @@
 
 #[derive(Debug, Default)]
 struct Mode {
-    /// Nothing passes, no connection is closed.
+    /// True while no data is forwarded and no connection is closed.
     silent: AtomicBool,
-    /// Connections below this number have gone silent for good.
-    forgotten: AtomicU64,
+    /// Lowest number of a connection that is not silent for good.
+    first_live: AtomicU64,
     opened: AtomicU64,
-    /// Bytes carried, both ways.
+    /// Bytes received from both ends.
     carried: AtomicU64,
 }
 
-/// A link from one process to another.
+/// A proxied link from one process to another.
 #[derive(Debug)]
 pub struct Relay {
     address: SocketAddr,
@@ -37,39 +37,39 @@
 }
 
 impl Relay {
-    /// Starts relaying to `target`, which need not listen yet.
+    /// Starts forwarding to `target`, which need not listen yet.
     pub fn spawn(
         runtime: &tokio::runtime::Runtime,
         target: SocketAddr,
     ) -> Relay {
         let listener = runtime
             .block_on(TcpListener::bind("127.0.0.1:0"))
-            .expect("a relay can listen");
-        let address = listener.local_addr().expect("an address");
+            .expect("the relay can't listen");
+        let address = listener.local_addr().expect("the relay has no address");
         let mode = Arc::new(Mode::default());
         runtime.spawn(accept(listener, target, mode.clone()));
         Relay { address, mode }
     }
 
-    /// What the one end connects to in place of the other.
+    /// Returns the address to connect to instead of the target's.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Lets nothing pass, or lets it pass again.
+    /// Stops or resumes forwarding on all connections, without closing any.
     pub fn set_silent(&self, silent: bool) {
         self.mode.silent.store(silent, Ordering::Relaxed);
     }
 
-    /// Bytes carried so far, both ways.
+    /// Returns the bytes received so far from both ends.
     pub fn carried(&self) -> u64 {
         self.mode.carried.load(Ordering::Relaxed)
     }
 
-    /// Makes all open connections silent for good; new ones work.
+    /// Silences all open connections for good. New connections work.
     pub fn forget_open(&self) {
         let opened = self.mode.opened.load(Ordering::Relaxed);
-        self.mode.forgotten.store(opened, Ordering::Relaxed);
+        self.mode.first_live.store(opened, Ordering::Relaxed);
     }
 }
 
@@ -86,9 +86,9 @@
             let _ = far.set_nodelay(true);
             let (near_in, near_out) = near.into_split();
             let (far_in, far_out) = far.into_split();
-            let there = copy(near_in, far_out, number, mode.clone());
-            let back = copy(far_in, near_out, number, mode);
-            tokio::join!(there, back);
+            let forward = copy(near_in, far_out, number, mode.clone());
+            let backward = copy(far_in, near_out, number, mode);
+            tokio::join!(forward, backward);
         });
     }
 }
@@ -106,7 +106,7 @@
         while mode.silent.load(Ordering::Relaxed) {
             sleep(Duration::from_millis(20)).await;
         }
-        if number < mode.forgotten.load(Ordering::Relaxed) {
+        if number < mode.first_live.load(Ordering::Relaxed) {
             std::future::pending::<()>().await;
         }
         if count == 0 || to.write_all(&bytes[..count]).await.is_err() {
--- a/tests/all/world.rs
+++ b/tests/all/world.rs
@@ -1,5 +1,4 @@
-//! A gateway's surroundings: raw clients, raw replicas, and a platform of the
-//! test's own.
+//! Helpers for gateway tests: TCP callers, TCP replicas, and a test platform.
 
 use std::{
     net::{Ipv4Addr, SocketAddr, SocketAddrV4},
@@ -29,10 +28,10 @@
     time::{sleep, timeout},
 };
 
-/// Long beyond anything that a passing test waits for.
+/// Timeout of waits in tests, far longer than any wait of a passing test.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
-/// Headers with names of the test's own.
+/// A dialect with test-only header names.
 pub struct Plain;
 
 impl Dialect for Plain {
@@ -40,12 +39,12 @@
         let text = |name: &str| headers.get(name)?.to_str().ok();
         Asked {
             id: headers.get("id").cloned(),
-            deadline_ms: text("deadline").and_then(|one| one.parse().ok()),
+            deadline_ms: text("deadline").and_then(|ms| ms.parse().ok()),
             key: text("key").map(str::to_owned),
             tokens: text("tokens")
-                .and_then(|one| Some((one.parse().ok()?, 0))),
-            parts: text("parts").map(parts).unwrap_or_default(),
-            last_event: text("last").and_then(|one| one.parse().ok()),
+                .and_then(|count| Some((count.parse().ok()?, 0))),
+            parts: text("parts").map(parse_parts).unwrap_or_default(),
+            last_event: text("last").and_then(|id| id.parse().ok()),
         }
     }
 
@@ -87,13 +86,13 @@
     }
 }
 
-/// Parts of a prompt, as in "7:900,8:600".
-fn parts(text: &str) -> Vec<(u64, u32)> {
+/// Parses the parts of a prompt, such as "7:900,8:600" (id and tokens).
+fn parse_parts(text: &str) -> Vec<(u64, u32)> {
     let pairs = text.split(',').filter_map(|part| part.split_once(':'));
     pairs.map(|(id, n)| (id.parse().unwrap(), n.parse().unwrap())).collect()
 }
 
-/// A platform that takes everything.
+/// A platform that accepts every call.
 pub struct Nobody;
 
 #[tonic::async_trait]
@@ -111,7 +110,7 @@
     }
 }
 
-/// A plan with a route for each kind of request, all to one service.
+/// Returns a plan with a route for each kind of request, all to one service.
 pub fn draft(version: u64) -> Draft {
     let route = |prefix: &str, repeat| Route {
         name: prefix.to_owned(),
@@ -158,13 +157,13 @@
     }
 }
 
-/// Plans here are just their version in digits.
+/// Parses a plan, whose text in these tests is only its version number.
 pub fn read_plan(bytes: &[u8]) -> Result<Draft, Invalid> {
     let text = std::str::from_utf8(bytes).map_err(Invalid::unreadable)?;
     text.parse().map(draft).map_err(Invalid::unreadable)
 }
 
-/// Options of a node on a loopback address of its own.
+/// Returns the options of a node on the given loopback address.
 pub fn options(ip: Ipv4Addr, port: u16, seeds: &[Ipv4Addr]) -> node::Options {
     node::Options {
         front: SocketAddrV4::new(ip, 0),
@@ -195,7 +194,7 @@
     }
 }
 
-/// A folder that is removed when the test ends.
+/// A temporary folder that is removed when dropped.
 pub struct Folder(pub std::path::PathBuf);
 
 impl Folder {
@@ -213,7 +212,7 @@
     }
 }
 
-/// A node alone, with a plan in force and the given replicas.
+/// A single node with a plan and the given replicas.
 pub struct World {
     pub node: node::Handle,
     pub front: SocketAddr,
@@ -243,7 +242,8 @@
         World { node, front, _folder: folder }
     }
 
-    /// Sends bytes and reads until the server closes or the answer is whole.
+    /// Sends bytes on a new connection and reads the answer, until it is
+    /// complete or the server closes the connection.
     pub async fn exchange(&self, bytes: &str) -> String {
         let mut stream = TcpStream::connect(self.front).await.unwrap();
         stream.write_all(bytes.as_bytes()).await.unwrap();
@@ -256,7 +256,7 @@
     }
 }
 
-/// Sends a request of its own id to a node, on a connection of its own.
+/// Sends a request with the given id to a node, on a new connection.
 pub async fn ask(
     front: SocketAddr,
     path: &str,
@@ -273,14 +273,14 @@
     read_answer(&mut client).await
 }
 
-/// Puts a plan in force, however long it takes the first leader to stand.
+/// Applies a plan, retrying until the first leader is elected.
 pub async fn put(node: &node::Handle, version: u64) {
     let put = async {
         while node.put_plan(version.to_string().as_bytes()).await.is_err() {
             sleep(Duration::from_millis(50)).await;
         }
     };
-    timeout(PATIENCE, put).await.expect("nobody took the plan");
+    timeout(PATIENCE, put).await.expect("no node accepted the plan");
 }
 
 pub fn sighting(id: &str, address: SocketAddr, state: u32) -> Sighting {
@@ -298,7 +298,8 @@
     }
 }
 
-/// Reads an answer: to its end by length or chunks, or to the close.
+/// Reads an answer until its length or last chunk shows that it is complete,
+/// or until the connection closes.
 pub async fn read_answer(stream: &mut TcpStream) -> String {
     let mut read = Vec::new();
     let mut buffer = [0; 4096];
@@ -314,7 +315,9 @@
             }
         }
     };
-    timeout(PATIENCE, done).await.expect("no answer, and no close")
+    timeout(PATIENCE, done)
+        .await
+        .expect("no complete answer, and the connection is still open")
 }
 
 pub fn is_whole(text: &str) -> bool {
@@ -330,12 +333,12 @@
     length.is_some_and(|length: usize| body.len() >= length)
 }
 
-/// A replica that hands each request's head to the test, and answers with
-/// what `respond` makes of it; an empty answer closes the connection.
+/// A replica that passes each request to the test and answers with the pieces
+/// that `respond` returns for it. No pieces close the connection.
 pub struct Replica {
     pub address: SocketAddr,
     heads: mpsc::UnboundedReceiver<String>,
-    /// Connections whose other end has closed.
+    /// Number of closed connections.
     pub closed: Arc<AtomicUsize>,
 }
 
@@ -362,14 +365,14 @@
         Replica { address, heads, closed }
     }
 
-    /// The heads that have come so far.
+    /// Returns the requests received since the last call.
     pub fn seen(&mut self) -> Vec<String> {
         std::iter::from_fn(|| self.heads.try_recv().ok()).collect()
     }
 
     pub async fn next(&mut self) -> String {
         let next = timeout(PATIENCE, self.heads.recv()).await;
-        next.expect("no request came").unwrap()
+        next.expect("no request arrived").unwrap()
     }
 }
 
@@ -398,7 +401,7 @@
             match piece.as_str() {
                 CLOSE => return,
                 WAIT => sleep(Duration::from_millis(300)).await,
-                // Silent until the other end closes.
+                // Sends nothing until the other end closes the connection.
                 HANG => {
                     let _ = stream.read(&mut buffer).await;
                     return;
@@ -437,7 +440,7 @@
     vec!["HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n".into()]
 }
 
-/// A chunked stream of the events `ids`, without its end.
+/// Returns a chunked stream of the events `ids`, without the last chunk.
 pub fn events(ids: std::ops::RangeInclusive<u64>) -> Vec<String> {
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let mut pieces = vec![head.to_owned()];
@@ -457,7 +460,7 @@
     answer.split(' ').nth(1).unwrap_or("no answer")
 }
 
-/// The ids of the events in an answer, in order.
+/// Returns the ids of the events in an answer, in order.
 pub fn ids(answer: &str) -> Vec<u64> {
     let lines = answer.lines().filter_map(|line| line.strip_prefix("id: "));
     lines.map(|id| id.parse().unwrap()).collect()
