--- a/benches/forward.rs
+++ b/benches/forward.rs
@@ -1,13 +1,15 @@
-//! An entry's forwarding beside a bare pass-through and a direct call.
+//! Benchmarks forwarding by an entry against a pass-through proxy and direct
+//! calls.
 //!
 //! ```text
 //! cargo bench --bench forward [seconds]
 //! ```
 //!
-//! The pass-through is the least that the same libraries can do: `xitca-web`
-//! in front, a pooled `hyper-util` client behind, nothing decided. It runs as
-//! a process of its own, with as many threads as the entry. Small answers
-//! come from a plain service, 500-piece streams from an engine without delay.
+//! The pass-through is a minimal proxy made of the same libraries: `xitca-web`
+//! as the server and a pooled `hyper-util` client, without any routing. It
+//! runs in its own process, with as many threads as the entry. Small answers
+//! come from a plain service, and streams of 500 pieces from an engine without
+//! delay.
 
 #[path = "../tests/all/cluster.rs"]
 #[allow(dead_code)]
@@ -65,7 +67,7 @@
         .build(connector)
 }
 
-/// The pass-through's process.
+/// Runs the pass-through's process.
 async fn pass_through(target: SocketAddr) {
     let client = pool();
     let server = http_server::spawn(
@@ -73,15 +75,15 @@
         2,
         move |request| {
             let client = client.clone();
-            async move { pass(&client, target, request).await }
+            async move { proxy(&client, target, request).await }
         },
     );
-    let server = server.expect("it listens");
+    let server = server.expect("the pass-through can't listen");
     println!("listening {}", server.address());
     std::future::pending::<()>().await;
 }
 
-async fn pass(
+async fn proxy(
     client: &Pool,
     target: SocketAddr,
     request: http_server::Request,
@@ -123,27 +125,28 @@
     response
 }
 
-struct Passing(Child);
+struct PassThrough(Child);
 
-impl Drop for Passing {
+impl Drop for PassThrough {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-fn start_pass_through(target: SocketAddr) -> (Passing, SocketAddr) {
-    let me = std::env::current_exe().expect("this program");
-    let mut child = Command::new(me)
+fn start_pass_through(target: SocketAddr) -> (PassThrough, SocketAddr) {
+    let program =
+        std::env::current_exe().expect("the path of this program is unknown");
+    let mut child = Command::new(program)
         .args(["pass-through", &target.to_string()])
         .stdout(Stdio::piped())
         .spawn()
-        .expect("it starts");
+        .expect("the pass-through can't start");
     let mut line = String::new();
     let stdout = child.stdout.take().expect("output");
     BufReader::new(stdout).read_line(&mut line).expect("a line");
     let address = line.trim().trim_start_matches("listening ").parse();
-    (Passing(child), address.expect("an address"))
+    (PassThrough(child), address.expect("an address"))
 }
 
 #[derive(Clone)]
@@ -156,39 +159,43 @@
 async fn measure(
     target: &Target,
     connections: usize,
-    length: Duration,
+    duration: Duration,
 ) -> (f64, f64, f64) {
     let client = pool();
     let stop = Arc::new(AtomicBool::new(false));
-    let times = Arc::new(Mutex::new(Vec::new()));
+    let all_latencies_ms = Arc::new(Mutex::new(Vec::new()));
     let began = Instant::now();
     let tasks: Vec<_> = (0..connections)
         .map(|_| {
             let (client, target) = (client.clone(), target.clone());
-            let (stop, times) = (stop.clone(), times.clone());
+            let (stop, all_latencies_ms) =
+                (stop.clone(), all_latencies_ms.clone());
             tokio::spawn(async move {
-                let mut own = Vec::new();
+                let mut latencies_ms = Vec::new();
                 while !stop.load(Ordering::Relaxed) {
                     let began = Instant::now();
                     call(&client, &target).await;
-                    own.push(began.elapsed().as_secs_f64() * 1e3);
+                    latencies_ms.push(began.elapsed().as_secs_f64() * 1e3);
                 }
-                times.lock().expect("times").extend(own);
+                all_latencies_ms.lock().expect("times").extend(latencies_ms);
             })
         })
         .collect();
-    tokio::time::sleep(length).await;
+    tokio::time::sleep(duration).await;
     stop.store(true, Ordering::Relaxed);
     for task in tasks {
         let _ = task.await;
     }
-    let took = began.elapsed().as_secs_f64();
-    let mut times = times.lock().expect("times");
-    times.sort_by(f64::total_cmp);
-    let at = |percent: usize| {
-        times.get(times.len() * percent / 100).copied().unwrap_or(0.0)
+    let elapsed_s = began.elapsed().as_secs_f64();
+    let mut all_latencies_ms = all_latencies_ms.lock().expect("times");
+    all_latencies_ms.sort_by(f64::total_cmp);
+    let percentile = |percent: usize| {
+        all_latencies_ms
+            .get(all_latencies_ms.len() * percent / 100)
+            .copied()
+            .unwrap_or(0.0)
     };
-    (times.len() as f64 / took, at(50), at(99))
+    (all_latencies_ms.len() as f64 / elapsed_s, percentile(50), percentile(99))
 }
 
 async fn call(client: &Pool, target: &Target) {
@@ -205,15 +212,18 @@
 }
 
 fn main() {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    if words.first().map(String::as_str) == Some("pass-through") {
-        let target = words[1].parse().expect("an address");
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    if arguments.first().map(String::as_str) == Some("pass-through") {
+        let target = arguments[1].parse().expect("an address");
         let runtime = tokio::runtime::Runtime::new().expect("a runtime");
         runtime.block_on(pass_through(target));
         return;
     }
-    let seconds = words.iter().find_map(|word| word.parse().ok()).unwrap_or(5);
-    let length = Duration::from_secs(seconds);
+    let seconds = arguments
+        .iter()
+        .find_map(|argument| argument.parse().ok())
+        .unwrap_or(5);
+    let duration = Duration::from_secs(seconds);
     let flags = ["--slots", "1000", "--piece-ms", "0", "--prefill-us", "0"]
         .map(str::to_owned)
         .to_vec();
@@ -254,18 +264,18 @@
         ),
     ] {
         let target = cluster.address(endpoint);
-        let (_process, passing) = start_pass_through(target);
+        let (_pass_through, pass_through_address) = start_pass_through(target);
         for connections in [8, 256] {
             for (name, address, path) in [
                 ("direct", target, direct),
-                ("pass-through", passing, direct),
+                ("pass-through", pass_through_address, direct),
                 ("entry", cluster.address("e1"), through),
             ] {
                 let target = Target { address, path, body: body.clone() };
                 let (rate, p50, p99) = cluster.runtime.block_on(measure(
                     &target,
                     connections,
-                    length,
+                    duration,
                 ));
                 println!(
                     "{kind:8} {connections:5} {name:12} {rate:10.0} \
