--- a/src/gateway/accept.rs
+++ b/src/gateway/accept.rs
@@ -11,7 +11,7 @@
 use super::{
     Gateway,
     bodies::Reservation,
-    dialect::Asked,
+    dialect::RequestInfo,
     forward::{Attempts, Work},
     plan::{Limits, Plan, Route, Team},
     refusal::Refusal,
@@ -35,7 +35,7 @@
 pub(super) async fn accept(
     gateway: &Arc<Gateway>,
     request: Request<Incoming>,
-    asked: Asked,
+    request_info: RequestInfo,
     began: Instant,
 ) -> Result<Work, Refusal> {
     let host = host_of(&request)?;
@@ -55,9 +55,9 @@
         let status = StatusCode::NOT_FOUND;
         return Err(Refusal::wrong(status, "no route leads there"));
     };
-    let team = team_of(plan, route, &asked)?;
+    let team = team_of(plan, route, &request_info)?;
     let limit = Duration::from_millis(
-        asked.deadline_ms.unwrap_or(u64::MAX).min(route.timeout_ms),
+        request_info.deadline_ms.unwrap_or(u64::MAX).min(route.timeout_ms),
     );
     let deadline = began + limit;
     let service = gateway.draw_service(route);
@@ -80,7 +80,7 @@
     if let Some(team) = &team
         && let Some(quota) = team.quota
     {
-        let cost = cost_of(&asked, quota.plain_tokens);
+        let cost = cost_of(&request_info, quota.plain_tokens);
         let urgent = route.priority == 0;
         let quota_known = || gateway.knows_quota(&team.name).then_some(());
         gateway.wait_at_start(quota_known).await;
@@ -92,7 +92,7 @@
         route,
         service,
         team,
-        asked,
+        request_info,
         method: head.method,
         path: path.to_owned(),
         headers: remove_hop_by_hop_headers(head.headers),
@@ -134,20 +134,23 @@
 fn team_of<'a>(
     plan: &'a Plan,
     route: &Route,
-    asked: &Asked,
+    request_info: &RequestInfo,
 ) -> Result<Option<&'a Team>, Refusal> {
     if route.public || !plan.requires_keys() {
         return Ok(None);
     }
-    let team = asked.key.as_deref().and_then(|key| plan.team(key));
+    let team = request_info.key.as_deref().and_then(|key| plan.team(key));
     let status = StatusCode::UNAUTHORIZED;
     team.map(Some).ok_or(Refusal::wrong(status, "unknown key"))
 }
 
 /// Returns the units of quota that a request costs: its tokens, or 1 where the
 /// quota counts requests.
-pub(super) fn cost_of(asked: &Asked, plain_tokens: Option<u64>) -> u64 {
-    match (plain_tokens, asked.tokens) {
+pub(super) fn cost_of(
+    request_info: &RequestInfo,
+    plain_tokens: Option<u64>,
+) -> u64 {
+    match (plain_tokens, request_info.tokens) {
         (None, _) => 1,
         (Some(_), Some((prompt, answer))) => prompt + answer,
         (Some(plain), None) => plain,
--- a/src/gateway/dialect.rs
+++ b/src/gateway/dialect.rs
@@ -11,7 +11,7 @@
 
 common! {
     /// What a caller's request headers contain.
-    pub struct Asked {
+    pub struct RequestInfo {
         /// Request id. Replicas echo it, which matches answers to requests.
         pub id: Option<HeaderValue>,
         /// How long the caller waits, in ms.
@@ -27,7 +27,7 @@
     }
 }
 
-impl Asked {
+impl RequestInfo {
     /// Returns the id of the last part that other prompts may share, 0 if
     /// there is none. The last part of a prompt is its own.
     pub fn prefix(&self) -> u64 {
@@ -37,7 +37,7 @@
 
 common! {
     /// What a gateway sends to a replica in addition to the caller's headers.
-    pub struct Sending<'a> {
+    pub struct AttemptInfo<'a> {
         /// The only replica that may run the request.
         pub replica: &'a str,
         /// The team that the request belongs to.
@@ -55,7 +55,7 @@
 
 common! {
     /// What the head of a replica's answer contains.
-    pub struct Answered {
+    pub struct AnswerInfo {
         /// True when the replica declares that it did not run the request.
         pub not_run: bool,
         /// True when another replica has this address now.
@@ -87,17 +87,21 @@
 /// Reads and writes the headers of one platform.
 pub trait Dialect: Send + Sync + 'static {
     /// Parses a request's headers. Headers that can't be parsed are ignored.
-    fn read(&self, headers: &HeaderMap) -> Asked;
+    fn parse_request(&self, headers: &HeaderMap) -> RequestInfo;
 
     /// Removes the headers that callers may not set, and sets those that the
     /// gateway sends to a replica.
-    fn write(&self, headers: &mut HeaderMap, sending: &Sending<'_>);
+    fn set_headers(
+        &self,
+        headers: &mut HeaderMap,
+        attempt_info: &AttemptInfo<'_>,
+    );
 
-    /// Parses the head of an answer to a request with the id `asked`.
-    fn judge(
+    /// Parses the head of an answer to a request with the id `request_id`.
+    fn parse_answer(
         &self,
-        asked: Option<&HeaderValue>,
+        request_id: Option<&HeaderValue>,
         status: StatusCode,
         headers: &HeaderMap,
-    ) -> Answered;
+    ) -> AnswerInfo;
 }
--- a/src/gateway/flight.rs
+++ b/src/gateway/flight.rs
@@ -4,7 +4,7 @@
 
 use super::{
     Gateway,
-    dialect::Answered,
+    dialect::AnswerInfo,
     ending::{Sign, Stay},
     fleet::{End, Target},
     forward::Work,
@@ -55,13 +55,13 @@
     /// survived the request. An error answer may be sent before the request
     /// runs, and an answer without a length looks complete when its replica
     /// crashes.
-    pub fn began(&mut self, answered: &Answered, proves_survival: bool) {
+    pub fn began(&mut self, answer_info: &AnswerInfo, proves_survival: bool) {
         self.has_started = true;
         self.proves_survival = proves_survival;
         let now = self.gateway.timer.now();
         self.heard_at = now;
         let mut fleet = self.gateway.fleet();
-        fleet.began(now, &self.service, &self.target, answered.load);
+        fleet.began(now, &self.service, &self.target, answer_info.load);
     }
 
     /// Notes that the answer was read to its end.
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -25,7 +25,7 @@
     Gateway,
     accept::{accept, cost_of, remove_hop_by_hop_headers},
     bodies::Reservation,
-    dialect::{Answered, Asked, Sending},
+    dialect::{AnswerInfo, AttemptInfo, RequestInfo},
     fleet::{End, Target},
     flight::Flight,
     parts::{blocks_of, ends_of},
@@ -69,7 +69,7 @@
     pub route: Route,
     pub service: String,
     pub team: Option<Team>,
-    pub asked: Asked,
+    pub request_info: RequestInfo,
     pub method: Method,
     /// Path and query, as received.
     pub path: String,
@@ -123,9 +123,9 @@
     request: Request<Incoming>,
 ) -> Response<Body> {
     let began = Instant::now();
-    let asked = gateway.dialect.read(request.headers());
-    let id = asked.id.clone();
-    match accept(&gateway, request, asked, began).await {
+    let request_info = gateway.dialect.parse_request(request.headers());
+    let id = request_info.id.clone();
+    match accept(&gateway, request, request_info, began).await {
         Ok(work) => {
             gateway.accepted.fetch_add(1, Ordering::Relaxed);
             run(work).await
@@ -149,7 +149,7 @@
 
 async fn run(mut work: Work) -> Response<Body> {
     let gateway = work.gateway.clone();
-    let id = work.asked.id.clone();
+    let id = work.request_info.id.clone();
     let route = work.route.name.clone();
     let began = work.began;
     let result = work.run().await;
@@ -214,10 +214,10 @@
                 self.now(),
                 &self.service,
                 &target,
-                &self.asked.parts,
+                &self.request_info.parts,
             );
             self.chosen = Some(target.clone());
-            match self.attempt(&target, self.asked.last_event).await {
+            match self.attempt(&target, self.request_info.last_event).await {
                 Ok(Reply::Complete(failure)) if is_failure(&failure) => {
                     self.attempts.note(&target.replica, Verdict::Ran);
                     answer = Some(failure);
@@ -226,7 +226,7 @@
                 Err(failed) => {
                     info!(
                         target: "gateway",
-                        request = shown(self.asked.id.as_ref()),
+                        request = shown(self.request_info.id.as_ref()),
                         fingerprint = fingerprint::shown(self.fingerprint),
                         replica = target.replica,
                         verdict = failed.verdict.as_str(),
@@ -294,12 +294,12 @@
     /// Returns the router's choice among the replicas that have not been
     /// tried.
     pub fn pick(&self) -> Option<Target> {
-        let blocks = blocks_of(&self.asked.parts);
-        let tokens = self.asked.tokens.map_or(0, |(prompt, _)| prompt);
+        let blocks = blocks_of(&self.request_info.parts);
+        let tokens = self.request_info.tokens.map_or(0, |(prompt, _)| prompt);
         let ask = Ask {
             tokens: tokens as u32,
             blocks: &blocks,
-            ends: &ends_of(&self.asked.parts),
+            ends: &ends_of(&self.request_info.parts),
             avoid: &self.attempts.avoid,
         };
         let now = self.now();
@@ -352,50 +352,55 @@
                 };
             }
         })?;
-        let answered = self.gateway.dialect.judge(
-            self.asked.id.as_ref(),
+        let answer_info = self.gateway.dialect.parse_answer(
+            self.request_info.id.as_ref(),
             response.status(),
             response.headers(),
         );
-        self.gateway.note_limit(&target.replica, flight.began_at(), &answered);
-        self.check_answer(&answered, &mut flight)?;
+        self.gateway.note_limit(
+            &target.replica,
+            flight.began_at(),
+            &answer_info,
+        );
+        self.check_answer(&answer_info, &mut flight)?;
         let proves = response.status().is_success() && is_framed(&response);
-        flight.began(&answered, proves);
+        flight.began(&answer_info, proves);
         self.gateway.count_began(self.team.as_ref());
         let streams = self.route.repeat.is_stream();
         if streams && response.status().is_success() {
             let (head, body) = response.into_parts();
-            let keep_ms = answered.keep_ms;
+            let keep_ms = answer_info.keep_ms;
             let read = Bytes::new();
             let source =
                 relay::Source { read, body, connection, flight, keep_ms };
             let head = answer_head(head, &Method::GET);
             return Ok(Reply::Streaming(Box::new(source), head));
         }
-        self.read_answer(response, connection, flight, answered.keep_ms).await
+        self.read_answer(response, connection, flight, answer_info.keep_ms)
+            .await
     }
 
     fn check_answer(
         &self,
-        answered: &Answered,
+        answer_info: &AnswerInfo,
         flight: &mut Flight,
     ) -> Result<(), Error> {
         let failed = |verdict, text: &str| {
             let text = text.to_owned();
             Err(Error { verdict, sent: true, fault: Fault::Other, text })
         };
-        if !answered.matches {
+        if !answer_info.matches {
             flight.end = End::Failed;
             return failed(
                 Verdict::MayHaveRun,
                 "the answer belongs to another request",
             );
         }
-        if answered.wrong_replica {
+        if answer_info.wrong_replica {
             flight.end = End::Failed;
             return failed(Verdict::NotRun, "another replica has the address");
         }
-        if answered.not_run {
+        if answer_info.not_run {
             flight.end = End::Failed;
             return failed(Verdict::NotRun, "the replica rejected it");
         }
@@ -468,7 +473,7 @@
         // Doubling leaves a value between two priorities, for requests that go
         // first within one of them.
         let urgency = (2 * self.priority()).min(MAX_URGENCY) as u8;
-        let sending = Sending {
+        let attempt_info = AttemptInfo {
             replica: &target.replica,
             team: team.map(|team| team.name.as_str()),
             deadline_ms: left.as_millis() as u64,
@@ -476,7 +481,7 @@
             fetch_from: target.fetch_from,
             last_event,
         };
-        self.gateway.dialect.write(&mut headers, &sending);
+        self.gateway.dialect.set_headers(&mut headers, &attempt_info);
         let mut request = Request::builder()
             .method(self.method.clone())
             .uri(self.path.as_str())
@@ -518,7 +523,7 @@
         if let Some(team) = &self.team
             && let Some(quota) = team.quota
         {
-            let cost = cost_of(&self.asked, quota.plain_tokens);
+            let cost = cost_of(&self.request_info, quota.plain_tokens);
             self.gateway.give_back(&team.name, cost);
         }
     }
@@ -550,14 +555,14 @@
         let chosen = self.chosen.as_ref();
         info!(
             target: "gateway",
-            request = shown(self.asked.id.as_ref()),
+            request = shown(self.request_info.id.as_ref()),
             fingerprint = fingerprint::shown(self.fingerprint),
             team = self.team.as_ref().map_or("", |team| &team.name),
             route = self.route.name,
             plan = self.gateway.plan_version(),
             replica = chosen.map_or("", |target| &target.replica),
-            prompt_tokens = self.asked.tokens.map_or(0, |(prompt, _)| prompt),
-            prefix = self.asked.prefix(),
+            prompt_tokens = self.request_info.tokens.map_or(0, |(prompt, _)| prompt),
+            prefix = self.request_info.prefix(),
             foretold_ms = chosen
                 .map_or(0, |target| target.predicted_ms as u64),
             cached = chosen.map_or(0, |target| target.cached_tokens),
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -12,7 +12,7 @@
 
 use super::{
     Gateway,
-    dialect::{Answered, Limit},
+    dialect::{AnswerInfo, Limit},
     fleet::Fleet,
 };
 use crate::{
@@ -44,7 +44,7 @@
         &self,
         replica: &str,
         sent_at: u64,
-        answered: &Answered,
+        answered: &AnswerInfo,
     ) {
         if !answered.matches || answered.wrong_replica {
             return;
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -61,7 +61,7 @@
 ) -> Response<Body> {
     let is_event_stream = work.route.repeat.is_stream();
     let relay = Relay {
-        splitter: Splitter::open(work.asked.last_event),
+        splitter: Splitter::open(work.request_info.last_event),
         source: Some(source),
         is_event_stream,
         has_ended: false,
@@ -185,7 +185,7 @@
     }
 
     fn request_id(&self) -> &str {
-        let id = self.work.asked.id.as_ref();
+        let id = self.work.request_info.id.as_ref();
         id.and_then(|id| id.to_str().ok()).unwrap_or("-")
     }
 
--- a/tests/all/world.rs
+++ b/tests/all/world.rs
@@ -14,7 +14,7 @@
     duty::{self, Badge, Cloud, Order},
     gateway::{
         self, Windows,
-        dialect::{Answered, Asked, Dialect, Limit, Sending},
+        dialect::{AnswerInfo, AttemptInfo, Dialect, Limit, RequestInfo},
         plan::{Draft, Invalid, Limits, Quota, Repeat, Route, Service, Team},
     },
     node,
@@ -35,9 +35,9 @@
 pub struct Plain;
 
 impl Dialect for Plain {
-    fn read(&self, headers: &HeaderMap) -> Asked {
+    fn parse_request(&self, headers: &HeaderMap) -> RequestInfo {
         let text = |name: &str| headers.get(name)?.to_str().ok();
-        Asked {
+        RequestInfo {
             id: headers.get("id").cloned(),
             deadline_ms: text("deadline").and_then(|ms| ms.parse().ok()),
             key: text("key").map(str::to_owned),
@@ -48,32 +48,36 @@
         }
     }
 
-    fn write(&self, headers: &mut HeaderMap, sending: &Sending<'_>) {
+    fn set_headers(
+        &self,
+        headers: &mut HeaderMap,
+        attempt_info: &AttemptInfo<'_>,
+    ) {
         headers.remove("key");
         headers.remove("team");
         let mut set = |name, value: &str| {
             headers.insert(name, HeaderValue::from_str(value).unwrap());
         };
-        set("replica", sending.replica);
-        if let Some(team) = sending.team {
+        set("replica", attempt_info.replica);
+        if let Some(team) = attempt_info.team {
             set("team", team);
         }
-        if let Some(last) = sending.last_event {
+        if let Some(last) = attempt_info.last_event {
             set("last", &last.to_string());
         }
     }
 
-    fn judge(
+    fn parse_answer(
         &self,
-        asked: Option<&HeaderValue>,
+        request_id: Option<&HeaderValue>,
         status: StatusCode,
         headers: &HeaderMap,
-    ) -> Answered {
+    ) -> AnswerInfo {
         let echoed = headers.get("id");
-        Answered {
+        AnswerInfo {
             not_run: headers.contains_key("not-run"),
             wrong_replica: status == StatusCode::MISDIRECTED_REQUEST,
-            matches: echoed.is_none() || echoed == asked,
+            matches: echoed.is_none() || echoed == request_id,
             load: None,
             keep_ms: None,
             limit: match headers.get("limit") {
