--- a/src/duty/scale.rs
+++ b/src/duty/scale.rs
@@ -98,8 +98,8 @@
                     || is_being_reclaimed(now, table, service, name);
             }
             let bounds = Bounds {
-                least: scaling.least,
-                most: scaling.most,
+                least: scaling.min_replicas,
+                most: scaling.max_replicas,
                 has_spot: scaling.spot_price.is_some(),
                 // Of all nodes, though only the active ones choose replicas:
                 // see `sizing_lag_ms`.
--- a/src/gateway/accept.rs
+++ b/src/gateway/accept.rs
@@ -80,7 +80,7 @@
     if let Some(team) = &team
         && let Some(quota) = team.quota
     {
-        let cost = cost_of(&request_info, quota.plain_tokens);
+        let cost = cost_of(&request_info, quota.default_tokens);
         let urgent = route.priority == 0;
         let quota_known = || gateway.knows_quota(&team.name).then_some(());
         gateway.wait_at_start(quota_known).await;
@@ -148,9 +148,9 @@
 /// quota counts requests.
 pub(super) fn cost_of(
     request_info: &RequestInfo,
-    plain_tokens: Option<u64>,
+    default_tokens: Option<u64>,
 ) -> u64 {
-    match (plain_tokens, request_info.tokens) {
+    match (default_tokens, request_info.tokens) {
         (None, _) => 1,
         (Some(_), Some((prompt, answer))) => prompt + answer,
         (Some(plain), None) => plain,
@@ -166,7 +166,7 @@
 ) -> Result<Bytes, Refusal> {
     let too_long =
         || Refusal::broken(StatusCode::PAYLOAD_TOO_LARGE, "body too long");
-    if body.size_hint().lower() > limits.body_bytes as u64 {
+    if body.size_hint().lower() > limits.max_body_bytes as u64 {
         return Err(too_long());
     }
     let mut read = BytesMut::new();
@@ -185,7 +185,7 @@
             }
         };
         if let Ok(data) = frame.into_data() {
-            if read.len() + data.len() > limits.body_bytes {
+            if read.len() + data.len() > limits.max_body_bytes {
                 return Err(too_long());
             }
             if !reservation.grow(read.len() + data.len()) {
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -613,7 +613,7 @@
 }
 
 fn weights_for(service: Option<&Service>) -> Weights {
-    let engine = service.filter(|service| service.batch.is_some());
+    let engine = service.filter(|service| service.max_batch.is_some());
     let defaults = Weights::default();
     match engine {
         Some(engine) => Weights {
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -29,7 +29,7 @@
     fleet::{End, Target},
     flight::Flight,
     parts::{blocks_of, ends_of},
-    plan::{Repeat, Route, Team},
+    plan::{RetryPolicy, Route, Team},
     refusal::{Refusal, shown},
     relay,
     server::{Body, full},
@@ -109,8 +109,12 @@
     }
 
     /// Returns true when the request may be sent to one more replica.
-    pub fn allows_another(&self, repeat: Repeat, max_attempts: u32) -> bool {
-        let may_rerun = self.ran == 0 || repeat.is_repeatable();
+    pub fn allows_another(
+        &self,
+        retry_policy: RetryPolicy,
+        max_attempts: u32,
+    ) -> bool {
+        let may_rerun = self.ran == 0 || retry_policy.is_repeatable();
         may_rerun
             && self.ran < max_attempts
             && self.not_run <= MAX_NOT_RUN_RETRIES
@@ -278,7 +282,10 @@
     /// charges the retry budget.
     pub fn claim_retry(&self) -> bool {
         let route = &self.route;
-        if !self.attempts.allows_another(route.repeat, route.attempts) {
+        if !self
+            .attempts
+            .allows_another(route.retry_policy, route.max_attempts)
+        {
             return false;
         }
         let quarantined =
@@ -366,7 +373,7 @@
         let proves = response.status().is_success() && is_framed(&response);
         flight.began(&answer_info, proves);
         self.gateway.count_began(self.team.as_ref());
-        let streams = self.route.repeat.is_stream();
+        let streams = self.route.retry_policy.is_stream();
         if streams && response.status().is_success() {
             let (head, body) = response.into_parts();
             let keep_ms = answer_info.keep_ms;
@@ -477,7 +484,7 @@
             replica: &target.replica,
             team: team.map(|team| team.name.as_str()),
             deadline_ms: left.as_millis() as u64,
-            urgency: self.route.repeat.is_stream().then_some(urgency),
+            urgency: self.route.retry_policy.is_stream().then_some(urgency),
             fetch_from: target.fetch_from,
             last_event,
         };
@@ -505,7 +512,9 @@
         let left = self.deadline.saturating_duration_since(Instant::now());
         let mut next = self.attempts.clone();
         next.ran += 1;
-        if !next.allows_another(self.route.repeat, self.route.attempts) {
+        if !next
+            .allows_another(self.route.retry_policy, self.route.max_attempts)
+        {
             return left;
         }
         let target_time = Duration::from_millis(self.route.target_ms);
@@ -523,7 +532,7 @@
         if let Some(team) = &self.team
             && let Some(quota) = team.quota
         {
-            let cost = cost_of(&self.request_info, quota.plain_tokens);
+            let cost = cost_of(&self.request_info, quota.default_tokens);
             self.gateway.give_back(&team.name, cost);
         }
     }
--- a/src/gateway/overload.rs
+++ b/src/gateway/overload.rs
@@ -31,7 +31,7 @@
     /// on time. More urgent requests may be predicted to wait longer, as
     /// replicas let them overtake.
     pub fn overload(&self, target: &Target, tried: u32) -> Option<Refusal> {
-        if tried > 0 || !self.route.repeat.is_stream() {
+        if tried > 0 || !self.route.retry_policy.is_stream() {
             return None;
         }
         let target_ms = self.route.target_ms as f32;
--- a/src/gateway/plan.rs
+++ b/src/gateway/plan.rs
@@ -11,27 +11,27 @@
 common! {
     copy
     /// Which retries a route allows, and whether its answers are streams.
-    pub enum Repeat {
+    pub enum RetryPolicy {
         /// A request may run more than once.
         Idempotent,
         /// A request may run at most once.
         Once,
-        /// As [`Repeat::Once`], and the answer is an event stream.
+        /// As [`RetryPolicy::Once`], and the answer is an event stream.
         Stream,
         /// An event stream that another replica can resume after any event.
         Resumable,
     }
 }
 
-impl Repeat {
+impl RetryPolicy {
     /// Returns true when a request that may have run can be sent again.
     pub fn is_repeatable(self) -> bool {
-        matches!(self, Repeat::Idempotent | Repeat::Resumable)
+        matches!(self, RetryPolicy::Idempotent | RetryPolicy::Resumable)
     }
 
     /// Returns true when the answer is an event stream.
     pub fn is_stream(self) -> bool {
-        matches!(self, Repeat::Stream | Repeat::Resumable)
+        matches!(self, RetryPolicy::Stream | RetryPolicy::Resumable)
     }
 }
 
@@ -45,7 +45,7 @@
         /// Path prefix, with a slash at both ends.
         pub prefix: String,
         /// Which retries are allowed.
-        pub repeat: Repeat,
+        pub retry_policy: RetryPolicy,
         /// Time after which a request fails, in ms.
         pub timeout_ms: u64,
         /// Time within which an answer counts in full, in ms.
@@ -55,7 +55,7 @@
         /// Services with their weights. Each request goes to one of them.
         pub split: Vec<(String, u64)>,
         /// Maximum number of replicas that may run one request.
-        pub attempts: u32,
+        pub max_attempts: u32,
         /// True when requests need no key.
         pub public: bool,
     }
@@ -65,9 +65,9 @@
     /// How an engine's replicas are bought.
     pub struct Scaling {
         /// Minimum number of replicas in each data centre.
-        pub least: u32,
+        pub min_replicas: u32,
         /// Maximum number of replicas in each data centre.
-        pub most: u32,
+        pub max_replicas: u32,
         /// Time from the order of a replica until it serves, in ms.
         pub boot_ms: u64,
         /// Price of a reclaimable replica as a fraction of the full price;
@@ -85,10 +85,10 @@
         pub name: String,
         /// Maximum number of connections to a replica, from all callers
         /// together; 0 for no limit.
-        pub connections: u32,
+        pub max_connections: u32,
         /// Number of requests that a replica runs at a time; `None` if it is
         /// not an engine.
-        pub batch: Option<u32>,
+        pub max_batch: Option<u32>,
         /// Capacity of an engine's prompt cache, in tokens.
         pub cache_tokens: u64,
         /// Usual number of tokens in one event of a stream.
@@ -125,7 +125,7 @@
         pub burst: u64,
         /// Cost in tokens of a request that announces no tokens; `None` if the
         /// quota counts requests, each of which costs 1.
-        pub plain_tokens: Option<u64>,
+        pub default_tokens: Option<u64>,
     }
 }
 
@@ -134,13 +134,13 @@
     /// Limits on the size and the duration of a caller's request.
     pub struct Limits {
         /// Maximum size of a request's head, in bytes.
-        pub head_bytes: usize,
+        pub max_head_bytes: usize,
         /// Maximum size of a request's body, in bytes.
-        pub body_bytes: usize,
+        pub max_body_bytes: usize,
         /// Timeout for receiving a whole head, in ms.
-        pub head_ms: u64,
+        pub head_timeout_ms: u64,
         /// Maximum idle time between two requests on a connection, in ms.
-        pub idle_ms: u64,
+        pub idle_timeout_ms: u64,
     }
 }
 
@@ -149,10 +149,10 @@
     /// users.
     fn default() -> Limits {
         Limits {
-            head_bytes: 16 * 1024,
-            body_bytes: 4 * 1024 * 1024,
-            head_ms: 3000,
-            idle_ms: 15_000,
+            max_head_bytes: 16 * 1024,
+            max_body_bytes: 4 * 1024 * 1024,
+            head_timeout_ms: 3000,
+            idle_timeout_ms: 15_000,
         }
     }
 }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -21,7 +21,7 @@
     fleet::End,
     flight::Flight,
     forward::{Reply, Work},
-    plan::Repeat,
+    plan::RetryPolicy,
     server::{Body, BodyError},
     upstream::Connection,
 };
@@ -59,7 +59,7 @@
     source: Source,
     head: Response<()>,
 ) -> Response<Body> {
-    let is_event_stream = work.route.repeat.is_stream();
+    let is_event_stream = work.route.retry_policy.is_stream();
     let relay = Relay {
         splitter: Splitter::open(work.request_info.last_event),
         source: Some(source),
@@ -105,7 +105,7 @@
 
     async fn receive(&mut self) -> Received {
         let deadline = self.work.deadline;
-        let resumable = self.work.route.repeat == Repeat::Resumable;
+        let resumable = self.work.route.retry_policy == RetryPolicy::Resumable;
         let Some(source) = &mut self.source else {
             return Received::Broken("there is no replica to read from");
         };
@@ -199,7 +199,7 @@
             let replica = source.flight.replica().to_owned();
             self.work.attempts.note(&replica, Verdict::Ran);
         }
-        if self.work.route.repeat != Repeat::Resumable {
+        if self.work.route.retry_policy != RetryPolicy::Resumable {
             return false;
         }
         while Instant::now() < self.work.deadline && self.work.claim_retry() {
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -234,7 +234,7 @@
         }
     });
     let connection = http1::Builder::new()
-        .max_buf_size((limits.head_bytes + 1024).max(MIN_BUFFER_BYTES))
+        .max_buf_size((limits.max_head_bytes + 1024).max(MIN_BUFFER_BYTES))
         .auto_date_header(false)
         .serve_connection(TokioIo::new(guard), service);
     let mut connection = std::pin::pin!(connection);
@@ -343,8 +343,8 @@
     fn is_timed_out(&mut self, context: &mut Context<'_>) -> bool {
         let phase = self.phase.get();
         let limit = match phase {
-            Phase::IDLE => self.limits.idle_ms,
-            Phase::HEAD => self.limits.head_ms,
+            Phase::IDLE => self.limits.idle_timeout_ms,
+            Phase::HEAD => self.limits.head_timeout_ms,
             _ => {
                 self.timed_phase = None;
                 self.phase.reader.register(context.waker());
--- a/tests/all/world.rs
+++ b/tests/all/world.rs
@@ -15,7 +15,9 @@
     gateway::{
         self, Windows,
         dialect::{AnswerInfo, AttemptInfo, Dialect, Limit, RequestInfo},
-        plan::{Draft, Invalid, Limits, Quota, Repeat, Route, Service, Team},
+        plan::{
+            Draft, Invalid, Limits, Quota, RetryPolicy, Route, Service, Team,
+        },
     },
     node,
     wire::{RecordUsage, Sighting},
@@ -116,31 +118,31 @@
 
 /// Returns a plan with a route for each kind of request, all to one service.
 pub fn draft(version: u64) -> Draft {
-    let route = |prefix: &str, repeat| Route {
+    let route = |prefix: &str, retry_policy| Route {
         name: prefix.to_owned(),
         host: "here".to_owned(),
         prefix: prefix.to_owned(),
-        repeat,
+        retry_policy,
         timeout_ms: 15_000,
         target_ms: 1000,
         priority: 0,
         split: vec![("app".to_owned(), 1)],
-        attempts: 2,
+        max_attempts: 2,
         public: prefix != "/team/",
     };
     Draft {
         version,
         routes: vec![
-            route("/again/", Repeat::Idempotent),
-            route("/once/", Repeat::Once),
-            route("/stream/", Repeat::Stream),
-            route("/resume/", Repeat::Resumable),
-            route("/team/", Repeat::Idempotent),
+            route("/again/", RetryPolicy::Idempotent),
+            route("/once/", RetryPolicy::Once),
+            route("/stream/", RetryPolicy::Stream),
+            route("/resume/", RetryPolicy::Resumable),
+            route("/team/", RetryPolicy::Idempotent),
         ],
         services: vec![Service {
             name: "app".to_owned(),
-            connections: 0,
-            batch: None,
+            max_connections: 0,
+            max_batch: None,
             cache_tokens: 0,
             tokens_per_event: 1,
             fetch_ms: None,
@@ -150,13 +152,13 @@
             name: "blue".to_owned(),
             keys: vec!["sesame".to_owned()],
             priority: None,
-            quota: Some(Quota { rate: 1, burst: 3, plain_tokens: None }),
+            quota: Some(Quota { rate: 1, burst: 3, default_tokens: None }),
         }],
         limits: Limits {
-            head_bytes: 8192,
-            body_bytes: 10_000,
-            head_ms: 400,
-            idle_ms: 1500,
+            max_head_bytes: 8192,
+            max_body_bytes: 10_000,
+            head_timeout_ms: 400,
+            idle_timeout_ms: 1500,
         },
     }
 }
