--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -94,7 +94,7 @@
 common! {
     copy
     /// The windows of time in which usage is counted.
-    pub struct Windows {
+    pub struct UsageWindow {
         /// Length of a window, in ms.
         pub length_ms: u64,
     }
@@ -106,11 +106,11 @@
     /// Data centre of this VM.
     pub data_centre: String,
     /// Bound on retries, over all entries together.
-    pub repeats: Bound,
+    pub retry_bound: Bound,
     /// Amount by which quotas may be exceeded.
     pub tolerance: Tolerance,
     /// The windows in which usage is counted.
-    pub windows: Windows,
+    pub usage_window: UsageWindow,
     /// Memory for the bodies of all requests in flight together, in bytes.
     pub body_memory: usize,
 }
@@ -135,7 +135,7 @@
     /// True when other nodes may already have been serving when this node
     /// started.
     joins: AtomicBool,
-    windows: Windows,
+    usage_window: UsageWindow,
     tolerance: Tolerance,
     /// When the quotas were last refreshed from the mesh, in ms.
     refreshed_at: AtomicU64,
@@ -178,11 +178,11 @@
             mesh: std::sync::OnceLock::new(),
             fleet: Mutex::new(Fleet::open(
                 &options.data_centre,
-                options.repeats,
+                options.retry_bound,
             )),
             quotas: Mutex::default(),
             joins: AtomicBool::new(false),
-            windows: options.windows,
+            usage_window: options.usage_window,
             tolerance: options.tolerance,
             refreshed_at: AtomicU64::new(0),
             fleet_refreshed_at: AtomicU64::new(0),
@@ -352,7 +352,7 @@
         let now = self.timer.now();
         let mut table = mesh.table();
         let wall = wall_ms() as i64 + table.clock_offset(now);
-        let window = wall.max(0) as u64 / self.windows.length_ms.max(1);
+        let window = wall.max(0) as u64 / self.usage_window.length_ms.max(1);
         table.count_began(window, &team.name);
     }
 }
--- a/tests/all/world.rs
+++ b/tests/all/world.rs
@@ -13,7 +13,7 @@
     decide::{quota::Tolerance, retry::Bound},
     duty::{self, Badge, Cloud, Order},
     gateway::{
-        self, Windows,
+        self, UsageWindow,
         dialect::{AnswerInfo, AttemptInfo, Dialect, Limit, RequestInfo},
         plan::{
             Draft, Invalid, Limits, Quota, RetryPolicy, Route, Service, Team,
@@ -182,9 +182,9 @@
         link_mbps: 0,
         gateway: gateway::Options {
             data_centre: "one".to_owned(),
-            repeats: Bound { ratio: 0.2, slack: 20.0, window_ms: 10_000 },
+            retry_bound: Bound { ratio: 0.2, slack: 20.0, window_ms: 10_000 },
             tolerance: Tolerance { part: 0.0, units: 0.0, window_ms: 8000.0 },
-            windows: Windows { length_ms: 5000 },
+            usage_window: UsageWindow { length_ms: 5000 },
             body_memory: 30 * 1024,
         },
         duties: duty::Options {
