--- a/src/gateway/ending.rs
+++ b/src/gateway/ending.rs
@@ -289,8 +289,10 @@
         let mut refused = false;
         if sign == Sign::Broken {
             sleep(RECONNECT_DELAY).await;
-            let lines = &self.lines;
-            refused = lines.has_ended(&target.replica, target.address).await;
+            let connections = &self.connections;
+            refused = connections
+                .refuses_connections(&target.replica, target.address)
+                .await;
         }
         loop {
             let now = self.timer.now();
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -341,9 +341,10 @@
         last_event: Option<u64>,
     ) -> Result<Reply, Error> {
         let mut flight = Flight::begin(self, target);
-        let lines = &self.gateway.lines;
-        let taken =
-            lines.take(&target.replica, target.address, self.deadline).await;
+        let connections = &self.gateway.connections;
+        let taken = connections
+            .take(&target.replica, target.address, self.deadline)
+            .await;
         let mut connection =
             taken.inspect_err(|_| flight.end = End::Failed)?;
         let request = self.request(target, last_event)?;
@@ -463,7 +464,7 @@
         }
         flight.finish(failure);
         self.gateway
-            .lines
+            .connections
             .put_back(connection, keep_ms.map(Duration::from_millis));
         let head = answer_head(head, &self.method);
         Ok(Reply::Complete(head.map(|()| read.freeze())))
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -121,14 +121,14 @@
     pub(crate) timer: Timer,
     /// Written by the node. Versions only increase.
     pub(crate) plan: Arc<Cell<Option<Plan>>>,
-    pub(crate) lines: Pool,
+    pub(crate) connections: Pool,
     pub(crate) metrics: Metrics,
     bodies: Budget,
     endings: Endings,
     quarantine: Mutex<Quarantine>,
     rate_limits: Mutex<RateLimits>,
     /// Notified when this node learns of a request with several crashes.
-    pub(crate) has_suspects: Notify,
+    pub(crate) suspects_changed: Notify,
     mesh: std::sync::OnceLock<mesh::Handle>,
     fleet: Mutex<Fleet>,
     quotas: Mutex<Quotas>,
@@ -138,7 +138,7 @@
     usage_window: UsageWindow,
     tolerance: Tolerance,
     /// When the quotas were last refreshed from the mesh, in ms.
-    refreshed_at: AtomicU64,
+    quotas_refreshed_at: AtomicU64,
     /// When the fleet was last refreshed from the mesh, in ms.
     fleet_refreshed_at: AtomicU64,
     /// True while a delayed refresh is scheduled.
@@ -168,13 +168,13 @@
             dialect,
             timer,
             plan: Arc::new(Cell::new(None)),
-            lines: Pool::default(),
+            connections: Pool::default(),
             metrics: Metrics::open(),
             bodies: Budget::open(options.body_memory),
             endings: Endings::default(),
             quarantine: Mutex::default(),
             rate_limits: Mutex::default(),
-            has_suspects: Notify::new(),
+            suspects_changed: Notify::new(),
             mesh: std::sync::OnceLock::new(),
             fleet: Mutex::new(Fleet::open(
                 &options.data_centre,
@@ -184,7 +184,7 @@
             joins: AtomicBool::new(false),
             usage_window: options.usage_window,
             tolerance: options.tolerance,
-            refreshed_at: AtomicU64::new(0),
+            quotas_refreshed_at: AtomicU64::new(0),
             fleet_refreshed_at: AtomicU64::new(0),
             is_refresh_scheduled: AtomicBool::new(false),
             changed: watch::Sender::new(()),
@@ -235,7 +235,7 @@
         let table = mesh.table();
         fleet.refresh(now, &table, plan.as_ref().as_ref());
         self.share_limits_by(&table, &mut fleet);
-        self.lines.retain(|replica| fleet.has(replica));
+        self.connections.retain(|replica| fleet.has(replica));
         self.refresh_quotas(now, &table, plan.as_ref().as_ref());
         drop(table);
         self.changed.send_replace(());
@@ -289,7 +289,7 @@
     }
 
     /// Returns the report on this node's requests for the other nodes.
-    pub fn own(&self) -> Own {
+    pub fn local_report(&self) -> Own {
         let spent = self.spent();
         let suspects = self.suspects();
         let limits = self.tell_limits();
@@ -309,7 +309,7 @@
     }
 
     /// Records the prompt parts that other nodes have sent to replicas.
-    pub fn note_cached(&self, cached: &[Cached]) {
+    pub fn record_cached_reports(&self, cached: &[Cached]) {
         self.fleet().note_cached(self.timer.now(), cached);
     }
 
--- a/src/gateway/quotas.rs
+++ b/src/gateway/quotas.rs
@@ -138,7 +138,7 @@
     /// Also called before each request: the first request after a stall may
     /// come before the next refresh.
     fn detect_stall(&self, now: u64) {
-        let before = self.refreshed_at.swap(now, Ordering::Relaxed);
+        let before = self.quotas_refreshed_at.swap(now, Ordering::Relaxed);
         let stalled_ms = now.saturating_sub(before);
         if stalled_ms >= STALL_THRESHOLD_MS {
             for bucket in &mut self.quotas().buckets {
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -159,7 +159,7 @@
         if let Some(mut source) = self.source.take() {
             source.flight.finish(false);
             let keep = source.keep_ms.map(Duration::from_millis);
-            self.work.gateway.lines.put_back(source.connection, keep);
+            self.work.gateway.connections.put_back(source.connection, keep);
         }
     }
 
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -87,7 +87,7 @@
     /// crashes that the next one may reach the limit.
     fn report_if_urgent(&self, crashes: usize) {
         if crashes >= MIN_URGENT_CRASHES {
-            self.has_suspects.notify_one();
+            self.suspects_changed.notify_one();
             if let Some(mesh) = self.mesh.get() {
                 mesh.urge();
             }
@@ -263,7 +263,7 @@
             max_crashes = max_crashes.max(self.record_crash(crash, source));
         }
         if max_crashes >= MIN_URGENT_CRASHES {
-            self.has_suspects.notify_one();
+            self.suspects_changed.notify_one();
         }
     }
 
--- a/src/gateway/upstream.rs
+++ b/src/gateway/upstream.rs
@@ -171,7 +171,7 @@
     ///
     /// Also returns false when the connection times out: a VM without power
     /// and a VM behind a network partition can't be told apart.
-    pub async fn has_ended(
+    pub async fn refuses_connections(
         &self,
         replica: &str,
         address: SocketAddrV4,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -485,11 +485,11 @@
 
 impl mesh::Host for Node {
     fn own(&self) -> Own {
-        self.gateway.own()
+        self.gateway.local_report()
     }
 
     fn cached(&self, cached: Vec<Cached>) {
-        self.gateway.note_cached(&cached);
+        self.gateway.record_cached_reports(&cached);
     }
 
     fn suspects(
--- a/src/node/recall.rs
+++ b/src/node/recall.rs
@@ -212,7 +212,7 @@
 fn take(node: &Node, caches: &Caches, from: &str) {
     let parts = caches.cached.len();
     info!(target: "node", parts, "Knows caches from {from}.");
-    node.gateway.note_cached(&caches.cached);
+    node.gateway.record_cached_reports(&caches.cached);
     node.knows_caches.store(true, Ordering::Relaxed);
 }
 
@@ -254,7 +254,7 @@
     let mut fails = false;
     while !node.has_stopped() {
         // What a request has done has to outlast a loss of power right after.
-        let suspects = node.gateway.has_suspects.notified();
+        let suspects = node.gateway.suspects_changed.notified();
         let _ = timeout(SAVE, suspects).await;
         if !node.knows_caches.load(Ordering::Relaxed) {
             continue;
