--- a/src/gateway/accept.rs
+++ b/src/gateway/accept.rs
@@ -12,7 +12,7 @@
     Gateway,
     bodies::Reservation,
     dialect::RequestInfo,
-    forward::{Attempts, Work},
+    forward::{AcceptedRequest, Attempts},
     plan::{Limits, Plan, Route, Team},
     refusal::Refusal,
 };
@@ -37,7 +37,7 @@
     request: Request<Incoming>,
     request_info: RequestInfo,
     began: Instant,
-) -> Result<Work, Refusal> {
+) -> Result<AcceptedRequest, Refusal> {
     let host = host_of(&request)?;
     let read_plan = || {
         let current_plan = gateway.plan.read();
@@ -87,7 +87,7 @@
         let admitted = gateway.admit(&team.name, quota, cost, urgent);
         admitted.map_err(with_route)?;
     }
-    Ok(Work {
+    Ok(AcceptedRequest {
         gateway: gateway.clone(),
         route,
         service,
--- a/src/gateway/flight.rs
+++ b/src/gateway/flight.rs
@@ -7,7 +7,7 @@
     dialect::AnswerInfo,
     ending::{Sign, Stay},
     fleet::{End, Target},
-    forward::Work,
+    forward::AcceptedRequest,
 };
 
 /// Silence on an abandoned attempt after which its replica may have crashed,
@@ -33,14 +33,14 @@
 
 impl Flight {
     /// Starts an attempt at `target`.
-    pub fn begin(work: &Work, target: &Target) -> Flight {
+    pub fn begin(accepted: &AcceptedRequest, target: &Target) -> Flight {
         Flight {
-            gateway: work.gateway.clone(),
-            service: work.service.clone(),
+            gateway: accepted.gateway.clone(),
+            service: accepted.service.clone(),
             target: target.clone(),
-            fingerprint: work.fingerprint,
-            began_at: work.now(),
-            heard_at: work.now(),
+            fingerprint: accepted.fingerprint,
+            began_at: accepted.now(),
+            heard_at: accepted.now(),
             has_started: false,
             proves_survival: false,
             // The outcome when the caller disconnects and the attempt is
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -64,7 +64,7 @@
 const MAX_URGENCY: u32 = 9;
 
 /// An accepted request, and the state of its attempts.
-pub(super) struct Work {
+pub(super) struct AcceptedRequest {
     pub gateway: Arc<Gateway>,
     pub route: Route,
     pub service: String,
@@ -130,9 +130,9 @@
     let request_info = gateway.dialect.parse_request(request.headers());
     let id = request_info.id.clone();
     match accept(&gateway, request, request_info, began).await {
-        Ok(work) => {
+        Ok(accepted) => {
             gateway.accepted.fetch_add(1, Ordering::Relaxed);
-            run(work).await
+            run(accepted).await
         }
         Err(refusal) => {
             refusal.note(&gateway.metrics, id.as_ref(), began);
@@ -151,27 +151,27 @@
     Complete(Response<Bytes>),
 }
 
-async fn run(mut work: Work) -> Response<Body> {
-    let gateway = work.gateway.clone();
-    let id = work.request_info.id.clone();
-    let route = work.route.name.clone();
-    let began = work.began;
-    let result = work.run().await;
+async fn run(mut accepted: AcceptedRequest) -> Response<Body> {
+    let gateway = accepted.gateway.clone();
+    let id = accepted.request_info.id.clone();
+    let route = accepted.route.name.clone();
+    let began = accepted.began;
+    let result = accepted.run().await;
     match result {
         Ok(Reply::Complete(answer)) => {
-            work.log(answer.status(), "answered");
-            work.observe_first_token();
-            work.observe_latency();
+            accepted.log(answer.status(), "answered");
+            accepted.observe_first_token();
+            accepted.observe_latency();
             answer.map(full)
         }
         Ok(Reply::Streaming(source, head)) => {
-            work.log(head.status(), "streams");
-            work.observe_first_token();
-            relay::open(work, *source, head)
+            accepted.log(head.status(), "streams");
+            accepted.observe_first_token();
+            relay::open(accepted, *source, head)
         }
         Err(refusal) => {
             if refusal.verdict == Verdict::NotRun {
-                work.refund_quota();
+                accepted.refund_quota();
             }
             let refusal = Refusal { route, ..refusal };
             refusal.note(&gateway.metrics, id.as_ref(), began);
@@ -180,7 +180,7 @@
     }
 }
 
-impl Work {
+impl AcceptedRequest {
     /// Returns the time by the timer's clock, in ms.
     pub fn now(&self) -> u64 {
         self.gateway.timer.now()
--- a/src/gateway/overload.rs
+++ b/src/gateway/overload.rs
@@ -2,7 +2,7 @@
 
 use super::{
     fleet::Target,
-    forward::Work,
+    forward::AcceptedRequest,
     refusal::{Cause, Refusal},
 };
 
@@ -12,7 +12,7 @@
 /// delays no other request.
 const MAX_LATENCY_FACTORS: [f32; 3] = [2.5, 2.0, 1.5];
 
-impl Work {
+impl AcceptedRequest {
     /// Refuses a request while the rate limits of all replicas are used up.
     pub fn limited(&self) -> Option<Refusal> {
         let now = self.now();
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -20,7 +20,7 @@
     events::Splitter,
     fleet::End,
     flight::Flight,
-    forward::{Reply, Work},
+    forward::{AcceptedRequest, Reply},
     plan::RetryPolicy,
     server::{Body, BodyError},
     upstream::Connection,
@@ -44,7 +44,7 @@
 }
 
 struct Relay {
-    work: Work,
+    accepted: AcceptedRequest,
     source: Option<Source>,
     splitter: Splitter,
     /// True when the body is an event stream.
@@ -55,17 +55,17 @@
 
 /// Returns an answer whose body forwards the source as the caller reads it.
 pub(super) fn open(
-    work: Work,
+    accepted: AcceptedRequest,
     source: Source,
     head: Response<()>,
 ) -> Response<Body> {
-    let is_event_stream = work.route.retry_policy.is_stream();
+    let is_event_stream = accepted.route.retry_policy.is_stream();
     let relay = Relay {
-        splitter: Splitter::open(work.request_info.last_event),
+        splitter: Splitter::open(accepted.request_info.last_event),
         source: Some(source),
         is_event_stream,
         has_ended: false,
-        work,
+        accepted,
     };
     let frames = stream::unfold(relay, |mut relay| async move {
         let next = relay.next().await?;
@@ -104,8 +104,9 @@
     }
 
     async fn receive(&mut self) -> Received {
-        let deadline = self.work.deadline;
-        let resumable = self.work.route.retry_policy == RetryPolicy::Resumable;
+        let deadline = self.accepted.deadline;
+        let resumable =
+            self.accepted.route.retry_policy == RetryPolicy::Resumable;
         let Some(source) = &mut self.source else {
             return Received::Broken("there is no replica to read from");
         };
@@ -148,18 +149,21 @@
 
     fn finish(&mut self) {
         self.has_ended = true;
-        self.work.observe_latency();
+        self.accepted.observe_latency();
         info!(
             target: "gateway",
             request = self.request_id(),
             last_event = self.splitter.last().unwrap_or(0),
-            after_ms = self.work.began.elapsed().as_millis() as u64,
+            after_ms = self.accepted.began.elapsed().as_millis() as u64,
             "Stream ended."
         );
         if let Some(mut source) = self.source.take() {
             source.flight.finish(false);
             let keep = source.keep_ms.map(Duration::from_millis);
-            self.work.gateway.connections.put_back(source.connection, keep);
+            self.accepted
+                .gateway
+                .connections
+                .put_back(source.connection, keep);
         }
     }
 
@@ -169,11 +173,11 @@
         warn!(
             target: "gateway",
             request = self.request_id(),
-            fingerprint = fingerprint::shown(self.work.fingerprint),
-            route = self.work.route.name,
+            fingerprint = fingerprint::shown(self.accepted.fingerprint),
+            route = self.accepted.route.name,
             replica = self.replica(),
             last_event = self.splitter.last().unwrap_or(0),
-            after_ms = self.work.began.elapsed().as_millis() as u64,
+            after_ms = self.accepted.began.elapsed().as_millis() as u64,
             "Stream failed: {text}."
         );
         BodyError { verdict: Verdict::Ran, text }
@@ -181,11 +185,11 @@
 
     /// Returns the replica of the latest attempt.
     fn replica(&self) -> &str {
-        self.work.chosen.as_ref().map_or("", |target| &target.replica)
+        self.accepted.chosen.as_ref().map_or("", |target| &target.replica)
     }
 
     fn request_id(&self) -> &str {
-        let id = self.work.request_info.id.as_ref();
+        let id = self.accepted.request_info.id.as_ref();
         id.and_then(|id| id.to_str().ok()).unwrap_or("-")
     }
 
@@ -197,15 +201,17 @@
                 source.flight.end = End::Failed;
             }
             let replica = source.flight.replica().to_owned();
-            self.work.attempts.note(&replica, Verdict::Ran);
+            self.accepted.attempts.note(&replica, Verdict::Ran);
         }
-        if self.work.route.retry_policy != RetryPolicy::Resumable {
+        if self.accepted.route.retry_policy != RetryPolicy::Resumable {
             return false;
         }
-        while Instant::now() < self.work.deadline && self.work.claim_retry() {
-            let Some(target) = self.work.pick() else { return false };
+        while Instant::now() < self.accepted.deadline
+            && self.accepted.claim_retry()
+        {
+            let Some(target) = self.accepted.pick() else { return false };
             let last = self.splitter.last();
-            self.work.chosen = Some(target.clone());
+            self.accepted.chosen = Some(target.clone());
             info!(
                 target: "gateway",
                 request = self.request_id(),
@@ -213,20 +219,20 @@
                 last_event = last.unwrap_or(0),
                 "Stream resumes at another replica: {reason}."
             );
-            match self.work.attempt(&target, last).await {
+            match self.accepted.attempt(&target, last).await {
                 Ok(Reply::Streaming(source, _)) => {
                     self.splitter = Splitter::open(last);
                     self.source = Some(*source);
-                    self.work.gateway.metrics.moved.inc();
+                    self.accepted.gateway.metrics.moved.inc();
                     return true;
                 }
                 Ok(Reply::Complete(_)) => {
                     let replica = &target.replica;
-                    self.work.attempts.note(replica, Verdict::Ran);
+                    self.accepted.attempts.note(replica, Verdict::Ran);
                 }
                 Err(failed) => {
                     let replica = &target.replica;
-                    self.work.attempts.note(replica, failed.verdict);
+                    self.accepted.attempts.note(replica, failed.verdict);
                 }
             }
         }
