--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -10,7 +10,7 @@
 
 use super::{
     memory::Memory,
-    parts::{BLOCK_TOKENS, blocks_in, blocks_of_part, paths_of},
+    parts::{BLOCK_TOKENS, block_count, cached_blocks, path_hashes},
     plan::{Plan, Service},
 };
 use crate::{
@@ -256,7 +256,7 @@
     ) {
         let shared = parts.len().saturating_sub(1);
         let mut tokens = 0;
-        for (path, part) in paths_of(parts).take(shared) {
+        for (path, part) in path_hashes(parts).take(shared) {
             tokens += part;
             if tokens <= target.cached_tokens {
                 continue;
@@ -265,7 +265,7 @@
                 service: name_hash(service),
                 replica: name_hash(&target.replica),
                 path,
-                blocks: blocks_in(part),
+                blocks: block_count(part),
             };
             self.cached.push((now, cached));
             self.memory.note(now, cached);
@@ -290,9 +290,7 @@
                 .iter_mut()
                 .find(|routed| name_hash(&routed.name) == part.service);
             if let Some(routed) = routed {
-                routed
-                    .pool
-                    .sent_elsewhere(part.replica, &blocks_of_part(part));
+                routed.pool.sent_elsewhere(part.replica, &cached_blocks(part));
             }
         }
     }
@@ -573,7 +571,7 @@
             if at.is_err() {
                 let hash = replica.hash();
                 for cached in memory.of(hash) {
-                    self.pool.sent_elsewhere(hash, &blocks_of_part(cached));
+                    self.pool.sent_elsewhere(hash, &cached_blocks(cached));
                 }
             }
         }
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -28,7 +28,7 @@
     dialect::{AnswerInfo, AttemptInfo, RequestInfo},
     fleet::{End, Target},
     flight::Flight,
-    parts::{blocks_of, ends_of},
+    parts::{block_ends, prompt_blocks},
     plan::{RetryPolicy, Route, Team},
     refusal::{Refusal, shown},
     relay,
@@ -301,12 +301,12 @@
     /// Returns the router's choice among the replicas that have not been
     /// tried.
     pub fn pick(&self) -> Option<Target> {
-        let blocks = blocks_of(&self.request_info.parts);
+        let blocks = prompt_blocks(&self.request_info.parts);
         let tokens = self.request_info.tokens.map_or(0, |(prompt, _)| prompt);
         let ask = Ask {
             tokens: tokens as u32,
             blocks: &blocks,
-            ends: &ends_of(&self.request_info.parts),
+            ends: &block_ends(&self.request_info.parts),
             avoid: &self.attempts.avoid,
         };
         let now = self.now();
--- a/src/gateway/parts.rs
+++ b/src/gateway/parts.rs
@@ -14,20 +14,20 @@
 ///
 /// Each block's hash covers all parts up to its own, so two prompts share a
 /// block exactly when they also share everything before it.
-pub fn blocks_of(parts: &[(u64, u32)]) -> Vec<u64> {
-    paths_of(parts)
+pub fn prompt_blocks(parts: &[(u64, u32)]) -> Vec<u64> {
+    path_hashes(parts)
         .flat_map(|(path, tokens)| {
-            (0..blocks_in(tokens)).map(move |at| block(path, at))
+            (0..block_count(tokens)).map(move |at| block(path, at))
         })
         .collect()
 }
 
-/// Returns the number of tokens up to the end of each block of [`blocks_of`].
-pub fn ends_of(parts: &[(u64, u32)]) -> Vec<u32> {
+/// Returns the number of tokens up to the end of each block of [`prompt_blocks`].
+pub fn block_ends(parts: &[(u64, u32)]) -> Vec<u32> {
     let mut ends = Vec::new();
     let mut before = 0;
     for &(_, tokens) in parts {
-        let count = blocks_in(tokens);
+        let count = block_count(tokens);
         let within = (1..=count).map(|at| (at * BLOCK_TOKENS).min(tokens));
         ends.extend(within.map(|end| before + end));
         before += tokens;
@@ -38,13 +38,13 @@
     ends
 }
 
-pub(super) fn blocks_of_part(cached: &Cached) -> Vec<u64> {
+pub(super) fn cached_blocks(cached: &Cached) -> Vec<u64> {
     (0..cached.blocks).map(|at| block(cached.path, at)).collect()
 }
 
 /// Returns for each part a hash of it and all parts before it, with the part's
 /// tokens.
-pub(super) fn paths_of(
+pub(super) fn path_hashes(
     parts: &[(u64, u32)],
 ) -> impl Iterator<Item = (u64, u32)> {
     parts.iter().scan(0u64, |path, &(part, tokens)| {
@@ -54,7 +54,7 @@
     })
 }
 
-pub(super) fn blocks_in(tokens: u32) -> u32 {
+pub(super) fn block_count(tokens: u32) -> u32 {
     ((tokens + BLOCK_TOKENS / 2) / BLOCK_TOKENS).max(1)
 }
 
--- a/tests/all/decide.rs
+++ b/tests/all/decide.rs
@@ -10,7 +10,7 @@
     retry::Budget,
     route::{Ask, Identity, Policy, Pool, Standing, Weights},
 };
-use azuremount::gateway::parts::{blocks_of, ends_of};
+use azuremount::gateway::parts::{block_ends, prompt_blocks};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
 fn identities(count: usize) -> Vec<Identity> {
@@ -392,8 +392,8 @@
 #[test]
 fn small_prompt_parts_count_by_their_tokens() {
     let parts = [(1, 180), (2, 170), (3, 1110)];
-    let blocks = blocks_of(&parts);
-    let ends = ends_of(&parts);
+    let blocks = prompt_blocks(&parts);
+    let ends = block_ends(&parts);
     assert_eq!(ends, [180, 350, 862, 1460]);
     assert_eq!(blocks.len(), ends.len());
     let weights = Weights {
