--- a/tests/all/crashes.rs
+++ b/tests/all/crashes.rs
@@ -12,8 +12,8 @@
 use crate::{
     nodes::Site,
     world::{
-        CLOSE, HANG, PATIENCE, Replica, World, ask, events, ok, put, serve,
-        sighting, status,
+        CLOSE, HANG, Replica, TEST_TIMEOUT, TestNode, apply_plan, events, ok,
+        post, serve, sighting, status,
     },
 };
 
@@ -49,7 +49,7 @@
 impl Service {
     async fn open(replicas: usize) -> Service {
         let site = Site::open(3, 0).await;
-        put(site.node(0), 1).await;
+        apply_plan(site.node(0), 1).await;
         site.all_serve().await;
         let (stops_sender, stops) = mpsc::unbounded_channel();
         let mut service = Service {
@@ -96,7 +96,7 @@
     /// Sends a request with this id and body to a node.
     async fn send(&mut self, at: usize, id: usize, body: &str) -> String {
         let front = self.site.node(at).front().unwrap();
-        let answer = ask(front, "/resume/x", id, body).await;
+        let answer = post(front, "/resume/x", id, body).await;
         sleep(DETECTION_TIME).await;
         self.replace_stopped().await;
         answer
@@ -114,7 +114,7 @@
                 self.send(id % 3, id, body).await;
             }
         };
-        timeout(PATIENCE, crash)
+        timeout(TEST_TIMEOUT, crash)
             .await
             .expect("fewer than three replicas have crashed");
         sleep(MAX_PROPAGATION_DELAY).await;
@@ -153,7 +153,7 @@
                 }
             }
         };
-        timeout(PATIENCE, refused).await.expect(when);
+        timeout(TEST_TIMEOUT, refused).await.expect(when);
     }
 }
 
@@ -268,7 +268,7 @@
         false => ok("fine"),
     })
     .await;
-    let world = World::open(&[("r", replica.address)]).await;
+    let world = TestNode::open(&[("r", replica.address)]).await;
     for _ in 0..5 {
         let answer = world.get("/again/x").await;
         assert_eq!(status(&answer), "502", "{answer}");
@@ -288,8 +288,8 @@
     let mut service = Service::open(1).await;
     for id in 0..4 {
         let front = service.site.node(id % 3).front().unwrap();
-        let asked = tokio::spawn(ask(front, "/stream/x", id, LAST));
-        let running = timeout(PATIENCE, service.stops.recv()).await;
+        let asked = tokio::spawn(post(front, "/stream/x", id, LAST));
+        let running = timeout(TEST_TIMEOUT, service.stops.recv()).await;
         let running = running.expect("refused").unwrap();
         let (replica, _) = service.replicas.pop().unwrap();
         for node in service.site.nodes() {
--- a/tests/all/endings.rs
+++ b/tests/all/endings.rs
@@ -26,8 +26,8 @@
 use crate::{
     nodes::Site,
     world::{
-        CLOSE, HANG, WAIT, ask, ended, events, ok, put, serve, sighting,
-        status,
+        CLOSE, HANG, WAIT, apply_plan, ended, events, ok, post, serve,
+        sighting, status,
     },
 };
 
@@ -275,7 +275,7 @@
         after_crash: AfterCrash,
     ) -> Service {
         let site = Site::open(3, others).await;
-        put(site.node(0), 1).await;
+        apply_plan(site.node(0), 1).await;
         site.all_serve().await;
         let shared = Arc::new(Shared {
             after_crash,
@@ -309,7 +309,8 @@
     ) -> String {
         let nodes = &self.shared.nodes;
         let front = nodes[at % nodes.len()].front().unwrap();
-        let answer = timeout(CALLER_TIMEOUT, ask(front, path, id, body)).await;
+        let answer =
+            timeout(CALLER_TIMEOUT, post(front, path, id, body)).await;
         answer.unwrap_or_default()
     }
 
--- a/tests/all/gateway.rs
+++ b/tests/all/gateway.rs
@@ -11,8 +11,8 @@
 };
 
 use crate::world::{
-    CLOSE, HANG, PATIENCE, Replica, WAIT, World, ended, events, full, ids,
-    is_whole, ok, read_answer, sighting, status,
+    CLOSE, HANG, Replica, TEST_TIMEOUT, TestNode, WAIT, ended, events, full,
+    ids, is_whole, ok, read_answer, sighting, status,
 };
 
 // ---- Requests from callers -------------------------------------------------
@@ -23,7 +23,7 @@
 #[tokio::test]
 async fn unknown_transfer_coding_does_not_smuggle_a_request() {
     let mut replica = Replica::spawn(|_| ok("fine")).await;
-    let world = World::open(&[("r", replica.address)]).await;
+    let world = TestNode::open(&[("r", replica.address)]).await;
     let inner = "GET /again/inner HTTP/1.1\r\nHost: here\r\n\r\n";
     let answer = world
         .exchange(&format!(
@@ -42,7 +42,7 @@
 #[tokio::test]
 async fn a_request_needs_exactly_one_host() {
     let replica = Replica::spawn(|_| ok("fine")).await;
-    let world = World::open(&[("r", replica.address)]).await;
+    let world = TestNode::open(&[("r", replica.address)]).await;
     for hosts in ["", "Host: here\r\nHost: here\r\n"] {
         let request = format!("GET /again/x HTTP/1.1\r\n{hosts}\r\n");
         let answer = world.exchange(&request).await;
@@ -55,7 +55,7 @@
 #[tokio::test]
 async fn invalid_content_lengths_are_refused() {
     let mut replica = Replica::spawn(|_| ok("fine")).await;
-    let world = World::open(&[("r", replica.address)]).await;
+    let world = TestNode::open(&[("r", replica.address)]).await;
     for length in ["+4", "-1", "4, 5", "0x4", "4\r\nContent-Length: 5"] {
         let request = format!(
             "POST /again/x HTTP/1.1\r\nHost: here\r\n\
@@ -72,7 +72,7 @@
 #[tokio::test]
 async fn a_body_beyond_the_limit_is_refused_before_it_is_sent() {
     let replica = Replica::spawn(|_| ok("fine")).await;
-    let world = World::open(&[("r", replica.address)]).await;
+    let world = TestNode::open(&[("r", replica.address)]).await;
     let answer = world
         .exchange(
             "POST /again/x HTTP/1.1\r\nHost: here\r\n\
@@ -96,7 +96,7 @@
 #[tokio::test]
 async fn bodies_share_a_memory_budget_that_is_released() {
     let replica = Replica::spawn(|_| ok("fine")).await;
-    let world = World::open(&[("r", replica.address)]).await;
+    let world = TestNode::open(&[("r", replica.address)]).await;
     let head = "POST /again/x HTTP/1.1\r\nHost: here\r\n\
                 Content-Length: 10000\r\n\r\n";
     let mut clients = Vec::new();
@@ -116,7 +116,7 @@
         }
     };
     let answer =
-        timeout(PATIENCE, refused).await.expect("every body was accepted");
+        timeout(TEST_TIMEOUT, refused).await.expect("every body was accepted");
     assert!(answer.to_lowercase().contains("retry-after"), "{answer}");
     drop(clients);
     let served = async {
@@ -124,7 +124,9 @@
             sleep(Duration::from_millis(10)).await;
         }
     };
-    timeout(PATIENCE, served).await.expect("the memory was never released");
+    timeout(TEST_TIMEOUT, served)
+        .await
+        .expect("the memory was never released");
 }
 
 /// Guards against buffering a long answer, for which the caller has to wait: a
@@ -141,19 +143,19 @@
         pieces
     })
     .await;
-    let world = World::open(&[("r", replica.address)]).await;
+    let world = TestNode::open(&[("r", replica.address)]).await;
     let mut client = TcpStream::connect(world.front).await.unwrap();
     let request = "GET /again/x HTTP/1.1\r\nHost: here\r\n\r\n";
     client.write_all(request.as_bytes()).await.unwrap();
     let mut read = vec![0; 400_000];
-    let all = timeout(PATIENCE, client.read_exact(&mut read)).await;
+    let all = timeout(TEST_TIMEOUT, client.read_exact(&mut read)).await;
     assert!(all.is_ok_and(|read| read.is_ok()), "not forwarded");
 }
 
 #[tokio::test]
 async fn a_head_beyond_the_limit_is_refused() {
     let replica = Replica::spawn(|_| ok("fine")).await;
-    let world = World::open(&[("r", replica.address)]).await;
+    let world = TestNode::open(&[("r", replica.address)]).await;
     let long = "x".repeat(20_000);
     let answer = world
         .exchange(&format!(
@@ -168,7 +170,7 @@
 #[tokio::test]
 async fn caller_that_stalls_within_a_head_is_disconnected() {
     let replica = Replica::spawn(|_| ok("fine")).await;
-    let world = World::open(&[("r", replica.address)]).await;
+    let world = TestNode::open(&[("r", replica.address)]).await;
     let answer = world.exchange("GET /again/x HTTP/1.1\r\nHos").await;
     assert_ne!(status(&answer), "200");
 }
@@ -179,7 +181,7 @@
 #[tokio::test]
 async fn a_connection_may_be_idle_for_longer_than_a_head_may_take() {
     let replica = Replica::spawn(|_| ok("fine")).await;
-    let world = World::open(&[("r", replica.address)]).await;
+    let world = TestNode::open(&[("r", replica.address)]).await;
     let mut stream = TcpStream::connect(world.front).await.unwrap();
     let request = b"GET /again/x HTTP/1.1\r\nHost: here\r\n\r\n";
     for _ in 0..2 {
@@ -196,13 +198,13 @@
 #[tokio::test]
 async fn a_connection_that_stays_idle_is_closed() {
     let replica = Replica::spawn(|_| ok("fine")).await;
-    let world = World::open(&[("r", replica.address)]).await;
+    let world = TestNode::open(&[("r", replica.address)]).await;
     let mut stream = TcpStream::connect(world.front).await.unwrap();
     let request = b"GET /again/x HTTP/1.1\r\nHost: here\r\n\r\n";
     stream.write_all(request).await.unwrap();
     assert_eq!(status(&read_answer(&mut stream).await), "200");
     let mut buffer = [0; 64];
-    let closed = timeout(PATIENCE, stream.read(&mut buffer)).await;
+    let closed = timeout(TEST_TIMEOUT, stream.read(&mut buffer)).await;
     assert_eq!(closed.expect("the connection is still open").unwrap(), 0);
 }
 
@@ -213,7 +215,7 @@
 async fn caller_disconnect_closes_the_replica_connection() {
     for path in ["/again/x", "/once/x", "/stream/x", "/resume/x"] {
         let mut replica = Replica::spawn(|_| vec![HANG.to_owned()]).await;
-        let world = World::open(&[("r", replica.address)]).await;
+        let world = TestNode::open(&[("r", replica.address)]).await;
         let mut stream = TcpStream::connect(world.front).await.unwrap();
         let request = format!("GET {path} HTTP/1.1\r\nHost: here\r\n\r\n");
         stream.write_all(request.as_bytes()).await.unwrap();
@@ -224,7 +226,7 @@
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(PATIENCE, freed).await.expect(path);
+        timeout(TEST_TIMEOUT, freed).await.expect(path);
     }
 }
 
@@ -238,7 +240,7 @@
         pieces
     })
     .await;
-    let world = World::open(&[("r", replica.address)]).await;
+    let world = TestNode::open(&[("r", replica.address)]).await;
     let mut stream = TcpStream::connect(world.front).await.unwrap();
     let request = "GET /stream/x HTTP/1.1\r\nHost: here\r\n\r\n";
     stream.write_all(request.as_bytes()).await.unwrap();
@@ -250,7 +252,7 @@
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(PATIENCE, freed)
+    timeout(TEST_TIMEOUT, freed)
         .await
         .expect("the replica's connection is still open");
 }
@@ -262,7 +264,7 @@
         ok(path)
     })
     .await;
-    let world = World::open(&[("r", replica.address)]).await;
+    let world = TestNode::open(&[("r", replica.address)]).await;
     let mut stream = TcpStream::connect(world.front).await.unwrap();
     let one = "GET /again/1 HTTP/1.1\r\nHost: here\r\n\r\n";
     let two = "GET /again/2 HTTP/1.1\r\nHost: here\r\n\r\n";
@@ -280,7 +282,7 @@
 #[tokio::test]
 async fn callers_cannot_set_the_team_header() {
     let mut replica = Replica::spawn(|_| ok("fine")).await;
-    let world = World::open(&[("r", replica.address)]).await;
+    let world = TestNode::open(&[("r", replica.address)]).await;
     let answer = world
         .exchange(
             "GET /team/x HTTP/1.1\r\nHost: here\r\nKey: sesame\r\n\
@@ -301,7 +303,7 @@
 #[tokio::test]
 async fn request_over_the_quota_gets_a_retry_delay() {
     let replica = Replica::spawn(|_| ok("fine")).await;
-    let world = World::open(&[("r", replica.address)]).await;
+    let world = TestNode::open(&[("r", replica.address)]).await;
     let request = "GET /team/x HTTP/1.1\r\nHost: here\r\nKey: sesame\r\n\r\n";
     let mut answers = Vec::new();
     for _ in 0..5 {
@@ -326,7 +328,7 @@
     let mut one = Replica::spawn(|_| Vec::new()).await;
     let mut two = Replica::spawn(|_| Vec::new()).await;
     let world =
-        World::open(&[("one", one.address), ("two", two.address)]).await;
+        TestNode::open(&[("one", one.address), ("two", two.address)]).await;
     let answer = world.get("/once/x").await;
     assert_eq!(status(&answer), "502", "{answer}");
     assert!(answer.contains("may have run"), "{answer}");
@@ -338,7 +340,7 @@
     let one = Replica::spawn(|_| Vec::new()).await;
     let two = Replica::spawn(|_| ok("fine")).await;
     let world =
-        World::open(&[("one", one.address), ("two", two.address)]).await;
+        TestNode::open(&[("one", one.address), ("two", two.address)]).await;
     for _ in 0..4 {
         assert_eq!(status(&world.get("/again/x").await), "200");
     }
@@ -351,7 +353,7 @@
     let one = Replica::spawn(|_| full()).await;
     let two = Replica::spawn(|_| full()).await;
     let world =
-        World::open(&[("one", one.address), ("two", two.address)]).await;
+        TestNode::open(&[("one", one.address), ("two", two.address)]).await;
     let answer = world.get("/once/x").await;
     assert_eq!(status(&answer), "503", "{answer}");
     assert!(answer.contains("azuremount-verdict: not run"), "{answer}");
@@ -363,7 +365,7 @@
     let one = Replica::spawn(|_| full()).await;
     let two = Replica::spawn(|_| ok("fine")).await;
     let world =
-        World::open(&[("one", one.address), ("two", two.address)]).await;
+        TestNode::open(&[("one", one.address), ("two", two.address)]).await;
     for _ in 0..4 {
         assert_eq!(status(&world.get("/once/x").await), "200");
     }
@@ -380,7 +382,7 @@
         ]
     })
     .await;
-    let world = World::open(&[("r", replica.address)]).await;
+    let world = TestNode::open(&[("r", replica.address)]).await;
     let request = "GET /once/x HTTP/1.1\r\nHost: here\r\nId: mine\r\n\r\n";
     let answer = world.exchange(request).await;
     assert_eq!(status(&answer), "502", "{answer}");
@@ -399,7 +401,7 @@
         ]
     };
     let replica = Replica::spawn(broken).await;
-    let world = World::open(&[("r", replica.address)]).await;
+    let world = TestNode::open(&[("r", replica.address)]).await;
     let answer = world.get("/once/x").await;
     assert_eq!(status(&answer), "502", "{answer}");
 }
@@ -421,7 +423,7 @@
     let one = Replica::spawn(respond).await;
     let two = Replica::spawn(respond).await;
     let world =
-        World::open(&[("one", one.address), ("two", two.address)]).await;
+        TestNode::open(&[("one", one.address), ("two", two.address)]).await;
     let answer = world.get("/resume/x").await;
     assert_eq!(ids(&answer), [1, 2, 3, 4, 5, 6], "{answer}");
     assert!(is_whole(&answer), "{answer}");
@@ -443,7 +445,7 @@
     let one = Replica::spawn(respond).await;
     let two = Replica::spawn(respond).await;
     let world =
-        World::open(&[("one", one.address), ("two", two.address)]).await;
+        TestNode::open(&[("one", one.address), ("two", two.address)]).await;
     let answer = world.get("/resume/x").await;
     assert_eq!(ids(&answer), [1, 2], "{answer}");
     assert!(answer.contains("data: two"), "{answer}");
@@ -462,7 +464,7 @@
     let mut one = Replica::spawn(respond).await;
     let mut two = Replica::spawn(respond).await;
     let world =
-        World::open(&[("one", one.address), ("two", two.address)]).await;
+        TestNode::open(&[("one", one.address), ("two", two.address)]).await;
     let answer = world.get("/stream/x").await;
     assert_eq!(ids(&answer), [1, 2, 3], "{answer}");
     assert!(!is_whole(&answer), "{answer}");
@@ -477,7 +479,7 @@
     let mut one = Replica::spawn(|_| ok("one")).await;
     let mut two = Replica::spawn(|_| ok("two")).await;
     let world =
-        World::open(&[("one", one.address), ("two", two.address)]).await;
+        TestNode::open(&[("one", one.address), ("two", two.address)]).await;
     let leaving = 1;
     let heartbeat = sighting("one", one.address, leaving);
     world.node.sight(Sighting { sequence: 7, ..heartbeat });
@@ -499,7 +501,7 @@
 async fn connection_is_not_reused_after_an_early_answer_to_a_long_body() {
     let early = |_: &str| ok("early");
     let mut replica = Replica::spawn(early).await;
-    let world = World::open(&[("r", replica.address)]).await;
+    let world = TestNode::open(&[("r", replica.address)]).await;
     let body = "x".repeat(9000);
     let request = format!(
         "POST /again/x HTTP/1.1\r\nHost: here\r\n\
@@ -523,7 +525,7 @@
         pieces
     })
     .await;
-    let world = World::open(&[("r", replica.address)]).await;
+    let world = TestNode::open(&[("r", replica.address)]).await;
     let mut stream = TcpStream::connect(world.front).await.unwrap();
     let request = b"GET /once/x HTTP/1.1\r\nHost: here\r\n\r\n";
     stream.write_all(request).await.unwrap();
--- a/tests/all/large_plan.rs
+++ b/tests/all/large_plan.rs
@@ -23,7 +23,7 @@
     time::{sleep, timeout},
 };
 
-use crate::world::{Folder, PATIENCE, options, read_plan};
+use crate::world::{TEST_TIMEOUT, TempFolder, options, read_plan};
 
 /// The port between nodes.
 const PORT: u16 = 7702;
@@ -53,7 +53,7 @@
 }
 
 /// Options of a node that founds a cluster on a disk of its own.
-fn founder(ip: Ipv4Addr, folder: &Folder) -> node::Options {
+fn founder(ip: Ipv4Addr, folder: &TempFolder) -> node::Options {
     node::Options {
         folder: Some(folder.0.clone()),
         founds: true,
@@ -69,7 +69,7 @@
 struct Site {
     leader: node::Handle,
     relay: node::Handle,
-    _folder: Folder,
+    _folder: TempFolder,
     _link: Vec<JoinHandle<()>>,
 }
 
@@ -77,7 +77,7 @@
     async fn open(net: u32) -> Site {
         let ip = |at| Ipv4Addr::from(0x7f59_0000 + (net << 8) + at);
         let (leader_ip, link_ip, relay_ip) = (ip(1), ip(2), ip(3));
-        let folder = Folder::new();
+        let folder = TempFolder::new();
         let leader = node::spawn(founder(leader_ip, &folder)).await.unwrap();
         let link = vec![
             tokio::spawn(pass_all(link_ip, leader_ip)),
@@ -147,7 +147,7 @@
             sleep(Duration::from_millis(50)).await;
         }
     };
-    timeout(PATIENCE, put).await.expect("nobody took the plan");
+    timeout(TEST_TIMEOUT, put).await.expect("nobody took the plan");
 }
 
 /// Symptom: the plan in force can't be read at nodes without a disk, although
@@ -169,7 +169,7 @@
             }
         }
     };
-    let plan = timeout(PATIENCE, read).await.expect("never read");
+    let plan = timeout(TEST_TIMEOUT, read).await.expect("never read");
     assert_eq!(plan.source, large_plan(7));
 }
 
@@ -194,7 +194,7 @@
 async fn changes_of_a_large_plan_do_not_fill_a_disk() {
     const DISK_BYTES: u64 = 64_000_000;
     let ip = Ipv4Addr::from(0x7f59_0301);
-    let folder = Folder::new();
+    let folder = TempFolder::new();
     let node = node::spawn(founder(ip, &folder)).await.unwrap();
     for version in 1..=24 {
         put(&node, &large_plan(version)).await;
@@ -209,7 +209,7 @@
 #[tokio::test]
 async fn an_operator_is_sent_to_a_wider_link_for_a_large_plan() {
     let ip = |at: u32| Ipv4Addr::from(0x7f59_0400 + at);
-    let folder = Folder::new();
+    let folder = TempFolder::new();
     let leader = node::Options { link_mbps: 100, ..founder(ip(1), &folder) };
     let leader = node::spawn(leader).await.unwrap();
     let narrow =
@@ -224,7 +224,7 @@
             sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(PATIENCE, sent).await.expect("never sent on");
+    timeout(TEST_TIMEOUT, sent).await.expect("never sent on");
     assert_eq!(narrow.faster_reader(10_000), None, "a short text");
     assert_eq!(leader.faster_reader(PLAN_BYTES), None, "to itself");
     assert_eq!(wide.faster_reader(PLAN_BYTES), None, "to a narrower link");
@@ -235,7 +235,7 @@
 #[tokio::test]
 async fn changes_of_a_dense_plan_do_not_fill_a_disk() {
     const PLAN_BYTES: usize = 2_000_000;
-    let folder = Folder::new();
+    let folder = TempFolder::new();
     let ip = Ipv4Addr::from(0x7f59_0501);
     let node = node::spawn(founder(ip, &folder)).await.unwrap();
     for version in 1..=16 {
@@ -245,7 +245,7 @@
     }
 }
 
-fn folder_bytes(folder: &Folder) -> u64 {
+fn folder_bytes(folder: &TempFolder) -> u64 {
     let files = std::fs::read_dir(&folder.0).unwrap();
     // One may be renamed meanwhile.
     let length = |file: std::io::Result<std::fs::DirEntry>| {
@@ -266,5 +266,5 @@
             sleep(Duration::from_millis(50)).await;
         }
     };
-    timeout(PATIENCE, in_force).await.expect("never in force");
+    timeout(TEST_TIMEOUT, in_force).await.expect("never in force");
 }
--- a/tests/all/nodes.rs
+++ b/tests/all/nodes.rs
@@ -16,7 +16,9 @@
 
 use tokio::{io::AsyncWriteExt, net::TcpStream};
 
-use crate::world::{Folder, Replica, ok, options, put, read_answer, sighting};
+use crate::world::{
+    Replica, TempFolder, apply_plan, ok, options, read_answer, sighting,
+};
 
 /// Long beyond anything that a passing test waits for.
 const PATIENCE: Duration = Duration::from_secs(30);
@@ -27,7 +29,7 @@
     /// Members that may lose their disks at once.
     tolerance: usize,
     ips: Vec<Ipv4Addr>,
-    folders: Vec<Option<Folder>>,
+    folders: Vec<Option<TempFolder>>,
     nodes: Vec<Option<node::Handle>>,
 }
 
@@ -51,7 +53,7 @@
                 .map(|at| Ipv4Addr::from(0x7f58_0001 + (net << 8) + at))
                 .collect(),
             folders: (0..count)
-                .map(|at| (at < disks).then(Folder::new))
+                .map(|at| (at < disks).then(TempFolder::new))
                 .collect(),
             nodes: vec![None; count],
         };
@@ -91,7 +93,7 @@
     /// Ends a node and starts it with an empty disk at its old address.
     async fn wipe(&mut self, at: usize) {
         self.stop(at).await;
-        self.folders[at] = Some(Folder::new());
+        self.folders[at] = Some(TempFolder::new());
         self.start(at, false).await;
     }
 
@@ -150,7 +152,7 @@
 #[tokio::test]
 async fn a_plan_is_in_force_everywhere() {
     let site = Site::open(4, 2).await;
-    put(site.node(5), 3).await;
+    apply_plan(site.node(5), 3).await;
     site.all_serve().await;
     for at in 0..6 {
         assert_eq!(site.read(at).await, 3);
@@ -167,11 +169,11 @@
 #[tokio::test]
 async fn a_second_disk_may_be_lost_once_the_first_is_back() {
     let mut site = Site::open(4, 0).await;
-    put(site.node(0), 1).await;
+    apply_plan(site.node(0), 1).await;
     site.all_serve().await;
     for (round, lost) in [0, 1, 2].into_iter().enumerate() {
         let version = 10 + round as u64;
-        put(site.node(3), version).await;
+        apply_plan(site.node(3), version).await;
         site.wipe(lost).await;
         assert_eq!(site.read(lost).await, version);
         // A wiped one is a voter again before the next is lost: the bound of
@@ -187,7 +189,7 @@
 #[tokio::test]
 async fn all_may_stop_at_once() {
     let mut site = Site::open(3, 1).await;
-    put(site.node(3), 5).await;
+    apply_plan(site.node(3), 5).await;
     for at in 0..4 {
         site.stop(at).await;
     }
@@ -205,9 +207,9 @@
 #[tokio::test]
 async fn an_empty_folder_never_founds_later() {
     let mut site = Site::open(4, 0).await;
-    put(site.node(1), 1).await;
+    apply_plan(site.node(1), 1).await;
     site.wipe(0).await;
-    put(site.node(0), 2).await;
+    apply_plan(site.node(0), 2).await;
     for at in 0..4 {
         assert_eq!(site.read(at).await, 2);
     }
@@ -219,7 +221,7 @@
 #[tokio::test]
 async fn a_node_serves_without_its_disk() {
     let mut site = Site::open(4, 0).await;
-    put(site.node(1), 1).await;
+    apply_plan(site.node(1), 1).await;
     site.stop(3).await;
     let path = site.folders[3].as_ref().unwrap().0.clone();
     let aside = path.with_extension("aside");
@@ -227,12 +229,12 @@
     std::fs::write(&path, "not a folder").unwrap();
     site.start(3, false).await;
     site.all_serve().await;
-    put(site.node(3), 2).await;
+    apply_plan(site.node(3), 2).await;
     std::fs::remove_file(&path).unwrap();
     std::fs::rename(&aside, &path).unwrap();
     site.stop(0).await;
     // With one of four gone for now, a majority needs this one.
-    put(site.node(3), 3).await;
+    apply_plan(site.node(3), 3).await;
     assert_eq!(site.read(3).await, 3);
 }
 
@@ -243,7 +245,7 @@
 #[tokio::test]
 async fn what_is_cached_is_known_after_one_or_all_have_restarted() {
     let mut site = Site::open(3, 1).await;
-    put(site.node(3), 1).await;
+    apply_plan(site.node(3), 1).await;
     site.all_serve().await;
     let replica = Replica::spawn(|_| ok("fine")).await;
     site.node(3).sight(sighting("r", replica.address, 0));
@@ -300,7 +302,7 @@
 #[tokio::test]
 async fn replicas_are_known_at_once_after_all_have_restarted() {
     let mut site = Site::open(3, 1).await;
-    put(site.node(3), 1).await;
+    apply_plan(site.node(3), 1).await;
     site.all_serve().await;
     let replica = Replica::spawn(|_| ok("fine")).await;
     site.node(3).sight(sighting("r", replica.address, 0));
@@ -344,7 +346,7 @@
 /// starts again, and so may have had a successor, has to wait.
 #[tokio::test]
 async fn only_the_first_leader_of_all_has_no_predecessor() {
-    let folder = Folder::new();
+    let folder = TempFolder::new();
     let ip = Ipv4Addr::new(127, 88, 250, 1);
     for first in [true, false] {
         let options = seat::Options {
@@ -375,16 +377,16 @@
 #[tokio::test]
 async fn what_was_confirmed_outlasts_lost_disks_beside_lost_power() {
     let mut site = Site::open_tolerant(5, 2, 2).await;
-    put(site.node(6), 1).await;
+    apply_plan(site.node(6), 1).await;
     site.all_serve().await;
     for (round, lost) in [[0, 1], [2, 3], [4, 0]].into_iter().enumerate() {
         let version = 10 + round as u64;
-        put(site.node(5), version).await;
+        apply_plan(site.node(5), version).await;
         for at in 0..7 {
             site.stop(at).await;
         }
         for at in lost {
-            site.folders[at] = Some(Folder::new());
+            site.folders[at] = Some(TempFolder::new());
         }
         for at in 0..7 {
             site.start(at, false).await;
--- a/tests/all/rate_limits.rs
+++ b/tests/all/rate_limits.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     nodes::Site,
-    world::{Replica, World, ask, ok, put, sighting, status},
+    world::{Replica, TestNode, apply_plan, ok, post, sighting, status},
 };
 
 /// Interval between two heartbeats of a replica.
@@ -129,7 +129,7 @@
         }
         let address = addresses[id % addresses.len()];
         requests.spawn(async move {
-            let answer = ask(address, "/once/x", id, "").await;
+            let answer = post(address, "/once/x", id, "").await;
             status(&answer) == "200"
         });
     }
@@ -163,7 +163,7 @@
 /// Guards against one node that sends a replica more than the announced rate.
 #[tokio::test]
 async fn a_node_complies_with_the_rate_of_a_replica() {
-    let world = World::open(&[]).await;
+    let world = TestNode::open(&[]).await;
     check_load(std::slice::from_ref(&world.node), &[Some(2.0), None]).await;
 }
 
@@ -172,7 +172,7 @@
 #[tokio::test]
 async fn all_nodes_together_comply_with_the_rate_of_a_replica() {
     let site = Site::open(3, 3).await;
-    put(site.node(0), 1).await;
+    apply_plan(site.node(0), 1).await;
     site.all_serve().await;
     let nodes: Vec<node::Handle> = site.nodes().cloned().collect();
     let rates = [Some(1.0), Some(1.0), Some(8.0), None, None, None];
@@ -186,7 +186,7 @@
 #[tokio::test]
 async fn a_limit_ends_when_answers_announce_none() {
     let site = Site::open(3, 0).await;
-    put(site.node(0), 1).await;
+    apply_plan(site.node(0), 1).await;
     site.all_serve().await;
     let nodes: Vec<node::Handle> = site.nodes().cloned().collect();
     let limited = Limited::spawn(Some(1.0)).await;
--- a/tests/all/world.rs
+++ b/tests/all/world.rs
@@ -31,12 +31,12 @@
 };
 
 /// Timeout of waits in tests, far longer than any wait of a passing test.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A dialect with test-only header names.
-pub struct Plain;
+pub struct TestDialect;
 
-impl Dialect for Plain {
+impl Dialect for TestDialect {
     fn parse_request(&self, headers: &HeaderMap) -> RequestInfo {
         let text = |name: &str| headers.get(name)?.to_str().ok();
         RequestInfo {
@@ -99,10 +99,10 @@
 }
 
 /// A platform that accepts every call.
-pub struct Nobody;
+pub struct NullCloud;
 
 #[tonic::async_trait]
-impl Cloud for Nobody {
+impl Cloud for NullCloud {
     async fn report(
         &self,
         _: &Badge,
@@ -194,50 +194,50 @@
             reports_usage: false,
             orders_replicas: false,
         },
-        dialect: Arc::new(Plain),
+        dialect: Arc::new(TestDialect),
         read_plan,
-        cloud: Arc::new(Nobody),
+        cloud: Arc::new(NullCloud),
     }
 }
 
 /// A temporary folder that is removed when dropped.
-pub struct Folder(pub std::path::PathBuf);
+pub struct TempFolder(pub std::path::PathBuf);
 
-impl Folder {
-    pub fn new() -> Folder {
+impl TempFolder {
+    pub fn new() -> TempFolder {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let name = format!("azuremount-{}-{number}", std::process::id());
-        Folder(std::env::temp_dir().join(name))
+        TempFolder(std::env::temp_dir().join(name))
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
 /// A single node with a plan and the given replicas.
-pub struct World {
+pub struct TestNode {
     pub node: node::Handle,
     pub front: SocketAddr,
-    _folder: Folder,
+    _folder: TempFolder,
 }
 
-impl World {
-    pub async fn open(replicas: &[(&str, SocketAddr)]) -> World {
+impl TestNode {
+    pub async fn open(replicas: &[(&str, SocketAddr)]) -> TestNode {
         static NEXT: AtomicU32 = AtomicU32::new(1);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let ip = Ipv4Addr::from(0x7f4d_0000 + number);
-        let folder = Folder::new();
+        let folder = TempFolder::new();
         let options = node::Options {
             folder: Some(folder.0.clone()),
             founds: true,
             ..options(ip, 7700, &[ip])
         };
         let node = node::spawn(options).await.unwrap();
-        put(&node, 1).await;
+        apply_plan(&node, 1).await;
         while !node.is_ready() {
             sleep(Duration::from_millis(10)).await;
         }
@@ -245,7 +245,7 @@
             node.sight(sighting(id, *address, 0));
         }
         let front = node.front().unwrap();
-        World { node, front, _folder: folder }
+        TestNode { node, front, _folder: folder }
     }
 
     /// Sends bytes on a new connection and reads the answer, until it is
@@ -263,7 +263,7 @@
 }
 
 /// Sends a request with the given id to a node, on a new connection.
-pub async fn ask(
+pub async fn post(
     front: SocketAddr,
     path: &str,
     id: usize,
@@ -280,13 +280,13 @@
 }
 
 /// Applies a plan, retrying until the first leader is elected.
-pub async fn put(node: &node::Handle, version: u64) {
+pub async fn apply_plan(node: &node::Handle, version: u64) {
     let put = async {
         while node.put_plan(version.to_string().as_bytes()).await.is_err() {
             sleep(Duration::from_millis(50)).await;
         }
     };
-    timeout(PATIENCE, put).await.expect("no node accepted the plan");
+    timeout(TEST_TIMEOUT, put).await.expect("no node accepted the plan");
 }
 
 pub fn sighting(id: &str, address: SocketAddr, state: u32) -> Sighting {
@@ -321,7 +321,7 @@
             }
         }
     };
-    timeout(PATIENCE, done)
+    timeout(TEST_TIMEOUT, done)
         .await
         .expect("no complete answer, and the connection is still open")
 }
@@ -377,7 +377,7 @@
     }
 
     pub async fn next(&mut self) -> String {
-        let next = timeout(PATIENCE, self.heads.recv()).await;
+        let next = timeout(TEST_TIMEOUT, self.heads.recv()).await;
         next.expect("no request arrived").unwrap()
     }
 }
