--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -131,7 +131,7 @@
     let id = request_info.id.clone();
     match accept(&gateway, request, request_info, began).await {
         Ok(accepted) => {
-            gateway.accepted.fetch_add(1, Ordering::Relaxed);
+            gateway.accepted_count.fetch_add(1, Ordering::Relaxed);
             run(accepted).await
         }
         Err(refusal) => {
@@ -571,7 +571,10 @@
             route = self.route.name,
             plan = self.gateway.plan_version(),
             replica = chosen.map_or("", |target| &target.replica),
-            prompt_tokens = self.request_info.tokens.map_or(0, |(prompt, _)| prompt),
+            prompt_tokens = self
+                .request_info
+                .tokens
+                .map_or(0, |(prompt, _)| prompt),
             prefix = self.request_info.prefix(),
             foretold_ms = chosen
                 .map_or(0, |target| target.predicted_ms as u64),
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -147,7 +147,7 @@
     changed: watch::Sender<()>,
     opened: Instant,
     /// Number of callers' requests accepted since the start.
-    accepted: AtomicU64,
+    accepted_count: AtomicU64,
 }
 
 impl std::fmt::Debug for Gateway {
@@ -189,7 +189,7 @@
             is_refresh_scheduled: AtomicBool::new(false),
             changed: watch::Sender::new(()),
             opened: Instant::now(),
-            accepted: AtomicU64::new(0),
+            accepted_count: AtomicU64::new(0),
         }
     }
 
@@ -304,7 +304,7 @@
             suspected: suspects.suspected,
             successes: suspects.successes,
             limits,
-            begun: self.accepted.load(Ordering::Relaxed),
+            begun: self.accepted_count.load(Ordering::Relaxed),
         }
     }
 
--- a/src/gateway/parts.rs
+++ b/src/gateway/parts.rs
@@ -22,7 +22,8 @@
         .collect()
 }
 
-/// Returns the number of tokens up to the end of each block of [`prompt_blocks`].
+/// Returns the number of tokens up to the end of each block of
+/// [`prompt_blocks`].
 pub fn block_ends(parts: &[(u64, u32)]) -> Vec<u32> {
     let mut ends = Vec::new();
     let mut before = 0;
