--- a/tests/all/gateway.rs
+++ b/tests/all/gateway.rs
@@ -37,8 +37,8 @@
 }
 
 /// Guards against requests that are routed by a host that the caller did not
-/// mean: with two Host headers one hop may use the first and another hop the
-/// last.
+/// mean: a request with two Host headers, or none, is served, and one hop may
+/// use the first host and another hop the last.
 #[tokio::test]
 async fn a_request_needs_exactly_one_host() {
     let replica = Replica::spawn(|_| ok("fine")).await;
