--- a/src/gateway/flight.rs
+++ b/src/gateway/flight.rs
@@ -4,10 +4,10 @@
 
 use super::{
     Gateway,
-    dialect::Answered,
+    dialect::AnswerInfo,
     ending::{Sign, Stay},
     fleet::{End, Target},
-    forward::Work,
+    forward::AcceptedRequest,
 };
 
 /// Silence on an abandoned attempt after which its replica may have crashed,
@@ -33,14 +33,14 @@
 
 impl Flight {
     /// Starts an attempt at `target`.
-    pub fn begin(work: &Work, target: &Target) -> Flight {
+    pub fn begin(accepted: &AcceptedRequest, target: &Target) -> Flight {
         Flight {
-            gateway: work.gateway.clone(),
-            service: work.service.clone(),
+            gateway: accepted.gateway.clone(),
+            service: accepted.service.clone(),
             target: target.clone(),
-            fingerprint: work.fingerprint,
-            began_at: work.now(),
-            heard_at: work.now(),
+            fingerprint: accepted.fingerprint,
+            began_at: accepted.now(),
+            heard_at: accepted.now(),
             has_started: false,
             proves_survival: false,
             // The outcome when the caller disconnects and the attempt is
@@ -55,13 +55,13 @@
     /// survived the request. An error answer may be sent before the request
     /// runs, and an answer without a length looks complete when its replica
     /// crashes.
-    pub fn began(&mut self, answered: &Answered, proves_survival: bool) {
+    pub fn began(&mut self, answer_info: &AnswerInfo, proves_survival: bool) {
         self.has_started = true;
         self.proves_survival = proves_survival;
         let now = self.gateway.timer.now();
         self.heard_at = now;
         let mut fleet = self.gateway.fleet();
-        fleet.began(now, &self.service, &self.target, answered.load);
+        fleet.began(now, &self.service, &self.target, answer_info.load);
     }
 
     /// Notes that the answer was read to its end.
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -25,11 +25,11 @@
     Gateway,
     accept::{accept, cost_of, remove_hop_by_hop_headers},
     bodies::Reservation,
-    dialect::{Answered, Asked, Sending},
+    dialect::{AnswerInfo, AttemptInfo, RequestInfo},
     fleet::{End, Target},
     flight::Flight,
-    parts::{blocks_of, ends_of},
-    plan::{Repeat, Route, Team},
+    parts::{block_ends, prompt_blocks},
+    plan::{RetryPolicy, Route, Team},
     refusal::{Refusal, shown},
     relay,
     server::{Body, full},
@@ -64,12 +64,12 @@
 const MAX_URGENCY: u32 = 9;
 
 /// An accepted request, and the state of its attempts.
-pub(super) struct Work {
+pub(super) struct AcceptedRequest {
     pub gateway: Arc<Gateway>,
     pub route: Route,
     pub service: String,
     pub team: Option<Team>,
-    pub asked: Asked,
+    pub request_info: RequestInfo,
     pub method: Method,
     /// Path and query, as received.
     pub path: String,
@@ -109,8 +109,12 @@
     }
 
     /// Returns true when the request may be sent to one more replica.
-    pub fn allows_another(&self, repeat: Repeat, max_attempts: u32) -> bool {
-        let may_rerun = self.ran == 0 || repeat.is_repeatable();
+    pub fn allows_another(
+        &self,
+        retry_policy: RetryPolicy,
+        max_attempts: u32,
+    ) -> bool {
+        let may_rerun = self.ran == 0 || retry_policy.is_repeatable();
         may_rerun
             && self.ran < max_attempts
             && self.not_run <= MAX_NOT_RUN_RETRIES
@@ -123,12 +127,12 @@
     request: Request<Incoming>,
 ) -> Response<Body> {
     let began = Instant::now();
-    let asked = gateway.dialect.read(request.headers());
-    let id = asked.id.clone();
-    match accept(&gateway, request, asked, began).await {
-        Ok(work) => {
-            gateway.accepted.fetch_add(1, Ordering::Relaxed);
-            run(work).await
+    let request_info = gateway.dialect.parse_request(request.headers());
+    let id = request_info.id.clone();
+    match accept(&gateway, request, request_info, began).await {
+        Ok(accepted) => {
+            gateway.accepted_count.fetch_add(1, Ordering::Relaxed);
+            run(accepted).await
         }
         Err(refusal) => {
             refusal.note(&gateway.metrics, id.as_ref(), began);
@@ -147,27 +151,27 @@
     Complete(Response<Bytes>),
 }
 
-async fn run(mut work: Work) -> Response<Body> {
-    let gateway = work.gateway.clone();
-    let id = work.asked.id.clone();
-    let route = work.route.name.clone();
-    let began = work.began;
-    let result = work.run().await;
+async fn run(mut accepted: AcceptedRequest) -> Response<Body> {
+    let gateway = accepted.gateway.clone();
+    let id = accepted.request_info.id.clone();
+    let route = accepted.route.name.clone();
+    let began = accepted.began;
+    let result = accepted.run().await;
     match result {
         Ok(Reply::Complete(answer)) => {
-            work.log(answer.status(), "answered");
-            work.observe_first_token();
-            work.observe_latency();
+            accepted.log(answer.status(), "answered");
+            accepted.observe_first_token();
+            accepted.observe_latency();
             answer.map(full)
         }
         Ok(Reply::Streaming(source, head)) => {
-            work.log(head.status(), "streams");
-            work.observe_first_token();
-            relay::open(work, *source, head)
+            accepted.log(head.status(), "streams");
+            accepted.observe_first_token();
+            relay::open(accepted, *source, head)
         }
         Err(refusal) => {
             if refusal.verdict == Verdict::NotRun {
-                work.refund_quota();
+                accepted.refund_quota();
             }
             let refusal = Refusal { route, ..refusal };
             refusal.note(&gateway.metrics, id.as_ref(), began);
@@ -176,7 +180,7 @@
     }
 }
 
-impl Work {
+impl AcceptedRequest {
     /// Returns the time by the timer's clock, in ms.
     pub fn now(&self) -> u64 {
         self.gateway.timer.now()
@@ -214,10 +218,10 @@
                 self.now(),
                 &self.service,
                 &target,
-                &self.asked.parts,
+                &self.request_info.parts,
             );
             self.chosen = Some(target.clone());
-            match self.attempt(&target, self.asked.last_event).await {
+            match self.attempt(&target, self.request_info.last_event).await {
                 Ok(Reply::Complete(failure)) if is_failure(&failure) => {
                     self.attempts.note(&target.replica, Verdict::Ran);
                     answer = Some(failure);
@@ -226,7 +230,7 @@
                 Err(failed) => {
                     info!(
                         target: "gateway",
-                        request = shown(self.asked.id.as_ref()),
+                        request = shown(self.request_info.id.as_ref()),
                         fingerprint = fingerprint::shown(self.fingerprint),
                         replica = target.replica,
                         verdict = failed.verdict.as_str(),
@@ -278,7 +282,10 @@
     /// charges the retry budget.
     pub fn claim_retry(&self) -> bool {
         let route = &self.route;
-        if !self.attempts.allows_another(route.repeat, route.attempts) {
+        if !self
+            .attempts
+            .allows_another(route.retry_policy, route.max_attempts)
+        {
             return false;
         }
         let quarantined =
@@ -294,12 +301,12 @@
     /// Returns the router's choice among the replicas that have not been
     /// tried.
     pub fn pick(&self) -> Option<Target> {
-        let blocks = blocks_of(&self.asked.parts);
-        let tokens = self.asked.tokens.map_or(0, |(prompt, _)| prompt);
+        let blocks = prompt_blocks(&self.request_info.parts);
+        let tokens = self.request_info.tokens.map_or(0, |(prompt, _)| prompt);
         let ask = Ask {
             tokens: tokens as u32,
             blocks: &blocks,
-            ends: &ends_of(&self.asked.parts),
+            ends: &block_ends(&self.request_info.parts),
             avoid: &self.attempts.avoid,
         };
         let now = self.now();
@@ -334,9 +341,10 @@
         last_event: Option<u64>,
     ) -> Result<Reply, Error> {
         let mut flight = Flight::begin(self, target);
-        let lines = &self.gateway.lines;
-        let taken =
-            lines.take(&target.replica, target.address, self.deadline).await;
+        let connections = &self.gateway.connections;
+        let taken = connections
+            .take(&target.replica, target.address, self.deadline)
+            .await;
         let mut connection =
             taken.inspect_err(|_| flight.end = End::Failed)?;
         let request = self.request(target, last_event)?;
@@ -352,50 +360,55 @@
                 };
             }
         })?;
-        let answered = self.gateway.dialect.judge(
-            self.asked.id.as_ref(),
+        let answer_info = self.gateway.dialect.parse_answer(
+            self.request_info.id.as_ref(),
             response.status(),
             response.headers(),
         );
-        self.gateway.note_limit(&target.replica, flight.began_at(), &answered);
-        self.check_answer(&answered, &mut flight)?;
+        self.gateway.note_limit(
+            &target.replica,
+            flight.began_at(),
+            &answer_info,
+        );
+        self.check_answer(&answer_info, &mut flight)?;
         let proves = response.status().is_success() && is_framed(&response);
-        flight.began(&answered, proves);
+        flight.began(&answer_info, proves);
         self.gateway.count_began(self.team.as_ref());
-        let streams = self.route.repeat.is_stream();
+        let streams = self.route.retry_policy.is_stream();
         if streams && response.status().is_success() {
             let (head, body) = response.into_parts();
-            let keep_ms = answered.keep_ms;
+            let keep_ms = answer_info.keep_ms;
             let read = Bytes::new();
             let source =
                 relay::Source { read, body, connection, flight, keep_ms };
             let head = answer_head(head, &Method::GET);
             return Ok(Reply::Streaming(Box::new(source), head));
         }
-        self.read_answer(response, connection, flight, answered.keep_ms).await
+        self.read_answer(response, connection, flight, answer_info.keep_ms)
+            .await
     }
 
     fn check_answer(
         &self,
-        answered: &Answered,
+        answer_info: &AnswerInfo,
         flight: &mut Flight,
     ) -> Result<(), Error> {
         let failed = |verdict, text: &str| {
             let text = text.to_owned();
             Err(Error { verdict, sent: true, fault: Fault::Other, text })
         };
-        if !answered.matches {
+        if !answer_info.matches {
             flight.end = End::Failed;
             return failed(
                 Verdict::MayHaveRun,
                 "the answer belongs to another request",
             );
         }
-        if answered.wrong_replica {
+        if answer_info.wrong_replica {
             flight.end = End::Failed;
             return failed(Verdict::NotRun, "another replica has the address");
         }
-        if answered.not_run {
+        if answer_info.not_run {
             flight.end = End::Failed;
             return failed(Verdict::NotRun, "the replica rejected it");
         }
@@ -451,7 +464,7 @@
         }
         flight.finish(failure);
         self.gateway
-            .lines
+            .connections
             .put_back(connection, keep_ms.map(Duration::from_millis));
         let head = answer_head(head, &self.method);
         Ok(Reply::Complete(head.map(|()| read.freeze())))
@@ -468,15 +481,15 @@
         // Doubling leaves a value between two priorities, for requests that go
         // first within one of them.
         let urgency = (2 * self.priority()).min(MAX_URGENCY) as u8;
-        let sending = Sending {
+        let attempt_info = AttemptInfo {
             replica: &target.replica,
             team: team.map(|team| team.name.as_str()),
             deadline_ms: left.as_millis() as u64,
-            urgency: self.route.repeat.is_stream().then_some(urgency),
+            urgency: self.route.retry_policy.is_stream().then_some(urgency),
             fetch_from: target.fetch_from,
             last_event,
         };
-        self.gateway.dialect.write(&mut headers, &sending);
+        self.gateway.dialect.set_headers(&mut headers, &attempt_info);
         let mut request = Request::builder()
             .method(self.method.clone())
             .uri(self.path.as_str())
@@ -500,7 +513,9 @@
         let left = self.deadline.saturating_duration_since(Instant::now());
         let mut next = self.attempts.clone();
         next.ran += 1;
-        if !next.allows_another(self.route.repeat, self.route.attempts) {
+        if !next
+            .allows_another(self.route.retry_policy, self.route.max_attempts)
+        {
             return left;
         }
         let target_time = Duration::from_millis(self.route.target_ms);
@@ -518,7 +533,7 @@
         if let Some(team) = &self.team
             && let Some(quota) = team.quota
         {
-            let cost = cost_of(&self.asked, quota.plain_tokens);
+            let cost = cost_of(&self.request_info, quota.default_tokens);
             self.gateway.give_back(&team.name, cost);
         }
     }
@@ -550,14 +565,17 @@
         let chosen = self.chosen.as_ref();
         info!(
             target: "gateway",
-            request = shown(self.asked.id.as_ref()),
+            request = shown(self.request_info.id.as_ref()),
             fingerprint = fingerprint::shown(self.fingerprint),
             team = self.team.as_ref().map_or("", |team| &team.name),
             route = self.route.name,
             plan = self.gateway.plan_version(),
             replica = chosen.map_or("", |target| &target.replica),
-            prompt_tokens = self.asked.tokens.map_or(0, |(prompt, _)| prompt),
-            prefix = self.asked.prefix(),
+            prompt_tokens = self
+                .request_info
+                .tokens
+                .map_or(0, |(prompt, _)| prompt),
+            prefix = self.request_info.prefix(),
             foretold_ms = chosen
                 .map_or(0, |target| target.predicted_ms as u64),
             cached = chosen.map_or(0, |target| target.cached_tokens),
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -94,7 +94,7 @@
 common! {
     copy
     /// The windows of time in which usage is counted.
-    pub struct Windows {
+    pub struct UsageWindow {
         /// Length of a window, in ms.
         pub length_ms: u64,
     }
@@ -106,11 +106,11 @@
     /// Data centre of this VM.
     pub data_centre: String,
     /// Bound on retries, over all entries together.
-    pub repeats: Bound,
+    pub retry_bound: Bound,
     /// Amount by which quotas may be exceeded.
     pub tolerance: Tolerance,
     /// The windows in which usage is counted.
-    pub windows: Windows,
+    pub usage_window: UsageWindow,
     /// Memory for the bodies of all requests in flight together, in bytes.
     pub body_memory: usize,
 }
@@ -121,24 +121,24 @@
     pub(crate) timer: Timer,
     /// Written by the node. Versions only increase.
     pub(crate) plan: Arc<Cell<Option<Plan>>>,
-    pub(crate) lines: Pool,
+    pub(crate) connections: Pool,
     pub(crate) metrics: Metrics,
     bodies: Budget,
     endings: Endings,
     quarantine: Mutex<Quarantine>,
     rate_limits: Mutex<RateLimits>,
     /// Notified when this node learns of a request with several crashes.
-    pub(crate) has_suspects: Notify,
+    pub(crate) suspects_changed: Notify,
     mesh: std::sync::OnceLock<mesh::Handle>,
     fleet: Mutex<Fleet>,
     quotas: Mutex<Quotas>,
     /// True when other nodes may already have been serving when this node
     /// started.
     joins: AtomicBool,
-    windows: Windows,
+    usage_window: UsageWindow,
     tolerance: Tolerance,
     /// When the quotas were last refreshed from the mesh, in ms.
-    refreshed_at: AtomicU64,
+    quotas_refreshed_at: AtomicU64,
     /// When the fleet was last refreshed from the mesh, in ms.
     fleet_refreshed_at: AtomicU64,
     /// True while a delayed refresh is scheduled.
@@ -147,7 +147,7 @@
     changed: watch::Sender<()>,
     opened: Instant,
     /// Number of callers' requests accepted since the start.
-    accepted: AtomicU64,
+    accepted_count: AtomicU64,
 }
 
 impl std::fmt::Debug for Gateway {
@@ -168,28 +168,28 @@
             dialect,
             timer,
             plan: Arc::new(Cell::new(None)),
-            lines: Pool::default(),
+            connections: Pool::default(),
             metrics: Metrics::open(),
             bodies: Budget::open(options.body_memory),
             endings: Endings::default(),
             quarantine: Mutex::default(),
             rate_limits: Mutex::default(),
-            has_suspects: Notify::new(),
+            suspects_changed: Notify::new(),
             mesh: std::sync::OnceLock::new(),
             fleet: Mutex::new(Fleet::open(
                 &options.data_centre,
-                options.repeats,
+                options.retry_bound,
             )),
             quotas: Mutex::default(),
             joins: AtomicBool::new(false),
-            windows: options.windows,
+            usage_window: options.usage_window,
             tolerance: options.tolerance,
-            refreshed_at: AtomicU64::new(0),
+            quotas_refreshed_at: AtomicU64::new(0),
             fleet_refreshed_at: AtomicU64::new(0),
             is_refresh_scheduled: AtomicBool::new(false),
             changed: watch::Sender::new(()),
             opened: Instant::now(),
-            accepted: AtomicU64::new(0),
+            accepted_count: AtomicU64::new(0),
         }
     }
 
@@ -235,7 +235,7 @@
         let table = mesh.table();
         fleet.refresh(now, &table, plan.as_ref().as_ref());
         self.share_limits_by(&table, &mut fleet);
-        self.lines.retain(|replica| fleet.has(replica));
+        self.connections.retain(|replica| fleet.has(replica));
         self.refresh_quotas(now, &table, plan.as_ref().as_ref());
         drop(table);
         self.changed.send_replace(());
@@ -289,7 +289,7 @@
     }
 
     /// Returns the report on this node's requests for the other nodes.
-    pub fn own(&self) -> Own {
+    pub fn local_report(&self) -> Own {
         let spent = self.spent();
         let suspects = self.suspects();
         let limits = self.tell_limits();
@@ -304,12 +304,12 @@
             suspected: suspects.suspected,
             successes: suspects.successes,
             limits,
-            begun: self.accepted.load(Ordering::Relaxed),
+            begun: self.accepted_count.load(Ordering::Relaxed),
         }
     }
 
     /// Records the prompt parts that other nodes have sent to replicas.
-    pub fn note_cached(&self, cached: &[Cached]) {
+    pub fn record_cached_reports(&self, cached: &[Cached]) {
         self.fleet().note_cached(self.timer.now(), cached);
     }
 
@@ -352,7 +352,7 @@
         let now = self.timer.now();
         let mut table = mesh.table();
         let wall = wall_ms() as i64 + table.clock_offset(now);
-        let window = wall.max(0) as u64 / self.windows.length_ms.max(1);
+        let window = wall.max(0) as u64 / self.usage_window.length_ms.max(1);
         table.count_began(window, &team.name);
     }
 }
--- a/src/gateway/overload.rs
+++ b/src/gateway/overload.rs
@@ -2,7 +2,7 @@
 
 use super::{
     fleet::Target,
-    forward::Work,
+    forward::AcceptedRequest,
     refusal::{Cause, Refusal},
 };
 
@@ -12,7 +12,7 @@
 /// delays no other request.
 const MAX_LATENCY_FACTORS: [f32; 3] = [2.5, 2.0, 1.5];
 
-impl Work {
+impl AcceptedRequest {
     /// Refuses a request while the rate limits of all replicas are used up.
     pub fn limited(&self) -> Option<Refusal> {
         let now = self.now();
@@ -31,7 +31,7 @@
     /// on time. More urgent requests may be predicted to wait longer, as
     /// replicas let them overtake.
     pub fn overload(&self, target: &Target, tried: u32) -> Option<Refusal> {
-        if tried > 0 || !self.route.repeat.is_stream() {
+        if tried > 0 || !self.route.retry_policy.is_stream() {
             return None;
         }
         let target_ms = self.route.target_ms as f32;
--- a/tests/all/world.rs
+++ b/tests/all/world.rs
@@ -13,9 +13,11 @@
     decide::{quota::Tolerance, retry::Bound},
     duty::{self, Badge, Cloud, Order},
     gateway::{
-        self, Windows,
-        dialect::{Answered, Asked, Dialect, Limit, Sending},
-        plan::{Draft, Invalid, Limits, Quota, Repeat, Route, Service, Team},
+        self, UsageWindow,
+        dialect::{AnswerInfo, AttemptInfo, Dialect, Limit, RequestInfo},
+        plan::{
+            Draft, Invalid, Limits, Quota, RetryPolicy, Route, Service, Team,
+        },
     },
     node,
     wire::{RecordUsage, Sighting},
@@ -29,15 +31,15 @@
 };
 
 /// Timeout of waits in tests, far longer than any wait of a passing test.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A dialect with test-only header names.
-pub struct Plain;
+pub struct TestDialect;
 
-impl Dialect for Plain {
-    fn read(&self, headers: &HeaderMap) -> Asked {
+impl Dialect for TestDialect {
+    fn parse_request(&self, headers: &HeaderMap) -> RequestInfo {
         let text = |name: &str| headers.get(name)?.to_str().ok();
-        Asked {
+        RequestInfo {
             id: headers.get("id").cloned(),
             deadline_ms: text("deadline").and_then(|ms| ms.parse().ok()),
             key: text("key").map(str::to_owned),
@@ -48,32 +50,36 @@
         }
     }
 
-    fn write(&self, headers: &mut HeaderMap, sending: &Sending<'_>) {
+    fn set_headers(
+        &self,
+        headers: &mut HeaderMap,
+        attempt_info: &AttemptInfo<'_>,
+    ) {
         headers.remove("key");
         headers.remove("team");
         let mut set = |name, value: &str| {
             headers.insert(name, HeaderValue::from_str(value).unwrap());
         };
-        set("replica", sending.replica);
-        if let Some(team) = sending.team {
+        set("replica", attempt_info.replica);
+        if let Some(team) = attempt_info.team {
             set("team", team);
         }
-        if let Some(last) = sending.last_event {
+        if let Some(last) = attempt_info.last_event {
             set("last", &last.to_string());
         }
     }
 
-    fn judge(
+    fn parse_answer(
         &self,
-        asked: Option<&HeaderValue>,
+        request_id: Option<&HeaderValue>,
         status: StatusCode,
         headers: &HeaderMap,
-    ) -> Answered {
+    ) -> AnswerInfo {
         let echoed = headers.get("id");
-        Answered {
+        AnswerInfo {
             not_run: headers.contains_key("not-run"),
             wrong_replica: status == StatusCode::MISDIRECTED_REQUEST,
-            matches: echoed.is_none() || echoed == asked,
+            matches: echoed.is_none() || echoed == request_id,
             load: None,
             keep_ms: None,
             limit: match headers.get("limit") {
@@ -93,10 +99,10 @@
 }
 
 /// A platform that accepts every call.
-pub struct Nobody;
+pub struct NullCloud;
 
 #[tonic::async_trait]
-impl Cloud for Nobody {
+impl Cloud for NullCloud {
     async fn report(
         &self,
         _: &Badge,
@@ -112,31 +118,31 @@
 
 /// Returns a plan with a route for each kind of request, all to one service.
 pub fn draft(version: u64) -> Draft {
-    let route = |prefix: &str, repeat| Route {
+    let route = |prefix: &str, retry_policy| Route {
         name: prefix.to_owned(),
         host: "here".to_owned(),
         prefix: prefix.to_owned(),
-        repeat,
+        retry_policy,
         timeout_ms: 15_000,
         target_ms: 1000,
         priority: 0,
         split: vec![("app".to_owned(), 1)],
-        attempts: 2,
+        max_attempts: 2,
         public: prefix != "/team/",
     };
     Draft {
         version,
         routes: vec![
-            route("/again/", Repeat::Idempotent),
-            route("/once/", Repeat::Once),
-            route("/stream/", Repeat::Stream),
-            route("/resume/", Repeat::Resumable),
-            route("/team/", Repeat::Idempotent),
+            route("/again/", RetryPolicy::Idempotent),
+            route("/once/", RetryPolicy::Once),
+            route("/stream/", RetryPolicy::Stream),
+            route("/resume/", RetryPolicy::Resumable),
+            route("/team/", RetryPolicy::Idempotent),
         ],
         services: vec![Service {
             name: "app".to_owned(),
-            connections: 0,
-            batch: None,
+            max_connections: 0,
+            max_batch: None,
             cache_tokens: 0,
             tokens_per_event: 1,
             fetch_ms: None,
@@ -146,13 +152,13 @@
             name: "blue".to_owned(),
             keys: vec!["sesame".to_owned()],
             priority: None,
-            quota: Some(Quota { rate: 1, burst: 3, plain_tokens: None }),
+            quota: Some(Quota { rate: 1, burst: 3, default_tokens: None }),
         }],
         limits: Limits {
-            head_bytes: 8192,
-            body_bytes: 10_000,
-            head_ms: 400,
-            idle_ms: 1500,
+            max_head_bytes: 8192,
+            max_body_bytes: 10_000,
+            head_timeout_ms: 400,
+            idle_timeout_ms: 1500,
         },
     }
 }
@@ -176,9 +182,9 @@
         link_mbps: 0,
         gateway: gateway::Options {
             data_centre: "one".to_owned(),
-            repeats: Bound { ratio: 0.2, slack: 20.0, window_ms: 10_000 },
+            retry_bound: Bound { ratio: 0.2, slack: 20.0, window_ms: 10_000 },
             tolerance: Tolerance { part: 0.0, units: 0.0, window_ms: 8000.0 },
-            windows: Windows { length_ms: 5000 },
+            usage_window: UsageWindow { length_ms: 5000 },
             body_memory: 30 * 1024,
         },
         duties: duty::Options {
@@ -188,50 +194,50 @@
             reports_usage: false,
             orders_replicas: false,
         },
-        dialect: Arc::new(Plain),
+        dialect: Arc::new(TestDialect),
         read_plan,
-        cloud: Arc::new(Nobody),
+        cloud: Arc::new(NullCloud),
     }
 }
 
 /// A temporary folder that is removed when dropped.
-pub struct Folder(pub std::path::PathBuf);
+pub struct TempFolder(pub std::path::PathBuf);
 
-impl Folder {
-    pub fn new() -> Folder {
+impl TempFolder {
+    pub fn new() -> TempFolder {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let name = format!("azuremount-{}-{number}", std::process::id());
-        Folder(std::env::temp_dir().join(name))
+        TempFolder(std::env::temp_dir().join(name))
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
 /// A single node with a plan and the given replicas.
-pub struct World {
+pub struct TestNode {
     pub node: node::Handle,
     pub front: SocketAddr,
-    _folder: Folder,
+    _folder: TempFolder,
 }
 
-impl World {
-    pub async fn open(replicas: &[(&str, SocketAddr)]) -> World {
+impl TestNode {
+    pub async fn open(replicas: &[(&str, SocketAddr)]) -> TestNode {
         static NEXT: AtomicU32 = AtomicU32::new(1);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let ip = Ipv4Addr::from(0x7f4d_0000 + number);
-        let folder = Folder::new();
+        let folder = TempFolder::new();
         let options = node::Options {
             folder: Some(folder.0.clone()),
             founds: true,
             ..options(ip, 7700, &[ip])
         };
         let node = node::spawn(options).await.unwrap();
-        put(&node, 1).await;
+        apply_plan(&node, 1).await;
         while !node.is_ready() {
             sleep(Duration::from_millis(10)).await;
         }
@@ -239,7 +245,7 @@
             node.sight(sighting(id, *address, 0));
         }
         let front = node.front().unwrap();
-        World { node, front, _folder: folder }
+        TestNode { node, front, _folder: folder }
     }
 
     /// Sends bytes on a new connection and reads the answer, until it is
@@ -257,7 +263,7 @@
 }
 
 /// Sends a request with the given id to a node, on a new connection.
-pub async fn ask(
+pub async fn post(
     front: SocketAddr,
     path: &str,
     id: usize,
@@ -274,13 +280,13 @@
 }
 
 /// Applies a plan, retrying until the first leader is elected.
-pub async fn put(node: &node::Handle, version: u64) {
+pub async fn apply_plan(node: &node::Handle, version: u64) {
     let put = async {
         while node.put_plan(version.to_string().as_bytes()).await.is_err() {
             sleep(Duration::from_millis(50)).await;
         }
     };
-    timeout(PATIENCE, put).await.expect("no node accepted the plan");
+    timeout(TEST_TIMEOUT, put).await.expect("no node accepted the plan");
 }
 
 pub fn sighting(id: &str, address: SocketAddr, state: u32) -> Sighting {
@@ -315,7 +321,7 @@
             }
         }
     };
-    timeout(PATIENCE, done)
+    timeout(TEST_TIMEOUT, done)
         .await
         .expect("no complete answer, and the connection is still open")
 }
@@ -371,7 +377,7 @@
     }
 
     pub async fn next(&mut self) -> String {
-        let next = timeout(PATIENCE, self.heads.recv()).await;
+        let next = timeout(TEST_TIMEOUT, self.heads.recv()).await;
         next.expect("no request arrived").unwrap()
     }
 }
