--- a/src/gateway/ending.rs
+++ b/src/gateway/ending.rs
@@ -70,33 +70,33 @@
 /// Attempts that broke off or were given up, by replica, until it is known
 /// whether the replica crashed.
 #[derive(Debug, Default)]
-pub(super) struct Endings {
+pub(super) struct CrashDetector {
     investigations: Mutex<Vec<Investigation>>,
 }
 
 #[derive(Debug)]
 struct Investigation {
     replica: String,
-    attempts: Vec<Stay>,
+    attempts: Vec<Attempt>,
 }
 
 /// An attempt that broke off or was given up, as seen by this node.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Stay {
+pub(super) struct Attempt {
     /// Fingerprint of the request.
     pub fingerprint: u64,
     /// Time at which the request was sent.
-    pub began_at: u64,
+    pub sent_at: u64,
     /// Time at which the replica last sent something for this attempt, or at
     /// which the request was sent.
     pub heard_at: u64,
     /// Time at which the connection broke or the attempt was given up.
     pub ended_at: u64,
     /// What started the investigation.
-    pub sign: Sign,
+    pub symptom: Symptom,
 }
 
-impl Stay {
+impl Attempt {
     /// Returns the crash recorded against the request if the replica has
     /// crashed.
     fn crash(&self, replica: &str, at: u64) -> Crash {
@@ -110,23 +110,23 @@
     /// Returns when the replica last sent something for this attempt, if it
     /// ever did.
     fn last_received(&self) -> Option<u64> {
-        (self.heard_at > self.began_at).then_some(self.heard_at)
+        (self.heard_at > self.sent_at).then_some(self.heard_at)
     }
 
     /// Whether the request had probably reached the replica.
     fn has_arrived(&self) -> bool {
         self.last_received().is_some()
-            || self.ended_at >= self.began_at + MIN_DELIVERED_ATTEMPT_MS
+            || self.ended_at >= self.sent_at + MIN_DELIVERED_ATTEMPT_MS
     }
 }
 
 /// What starts an investigation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Sign {
+pub(super) enum Symptom {
     /// The replica closed the connection before the response was complete.
     Broken,
     /// The replica sent nothing on the connection for long.
-    Silent,
+    Unresponsive,
 }
 
 /// Result of an investigation.
@@ -138,13 +138,13 @@
     NotCrashed,
 }
 
-impl Endings {
+impl CrashDetector {
     fn lock(&self) -> MutexGuard<'_, Vec<Investigation>> {
         self.investigations.lock().unwrap_or_else(|held| held.into_inner())
     }
 
     /// Adds an attempt; returns true for the first one at a replica.
-    fn add(&self, replica: &str, attempt: Stay) -> bool {
+    fn add(&self, replica: &str, attempt: Attempt) -> bool {
         let mut open = self.lock();
         let known = open.iter_mut().find(|known| known.replica == replica);
         if let Some(investigation) = known {
@@ -160,7 +160,7 @@
         true
     }
 
-    fn take(&self, replica: &str) -> Vec<Stay> {
+    fn take(&self, replica: &str) -> Vec<Attempt> {
         let mut open = self.lock();
         let at = open.iter().position(|known| known.replica == replica);
         at.map(|at| open.swap_remove(at).attempts).unwrap_or_default()
@@ -176,11 +176,11 @@
 }
 
 /// Returns the time of the crash, from the attempts of one investigation.
-fn crash_time(attempts: &[Stay]) -> Option<u64> {
-    let received = attempts.iter().filter_map(Stay::last_received);
+fn crash_time(attempts: &[Attempt]) -> Option<u64> {
+    let received = attempts.iter().filter_map(Attempt::last_received);
     let received_at = received.max().unwrap_or(0);
     let broken =
-        attempts.iter().filter(|attempt| attempt.sign == Sign::Broken);
+        attempts.iter().filter(|attempt| attempt.symptom == Symptom::Broken);
     let broken = broken.map(|attempt| attempt.ended_at);
     broken.filter(|at| *at >= received_at).min()
 }
@@ -189,20 +189,20 @@
 /// the replica crashed; `last_heard` is the time of its last heartbeat.
 fn crashes(
     replica: &str,
-    attempts: &[Stay],
+    attempts: &[Attempt],
     last_heard: Option<u64>,
 ) -> Vec<Crash> {
     let crashed_at = crash_time(attempts);
-    let was_in_flight = |attempt: &&Stay| {
+    let was_in_flight = |attempt: &&Attempt| {
         crashed_at
-            .is_none_or(|at| attempt.began_at <= at + MAX_DISCONNECT_DELAY_MS)
+            .is_none_or(|at| attempt.sent_at <= at + MAX_DISCONNECT_DELAY_MS)
             && last_heard
-                .is_none_or(|at| attempt.began_at <= at + MAX_HEARTBEAT_GAP_MS)
+                .is_none_or(|at| attempt.sent_at <= at + MAX_HEARTBEAT_GAP_MS)
     };
-    let to_crash = |attempt: &Stay| match attempt.sign {
-        Sign::Broken => attempt.crash(replica, attempt.ended_at),
+    let to_crash = |attempt: &Attempt| match attempt.symptom {
+        Symptom::Broken => attempt.crash(replica, attempt.ended_at),
         // It is only known that the replica crashed after it was last heard.
-        Sign::Silent => {
+        Symptom::Unresponsive => {
             let heard_at = last_heard.unwrap_or(0).max(attempt.heard_at);
             attempt.crash(replica, heard_at.min(attempt.ended_at))
         }
@@ -219,17 +219,17 @@
 impl Gateway {
     /// Finds out whether a replica has crashed, after an attempt there broke
     /// off or was given up unanswered.
-    pub(super) fn examine(
+    pub(super) fn investigate_crash(
         self: &Arc<Gateway>,
         service: &str,
         target: &Target,
-        attempt: Stay,
+        attempt: Attempt,
     ) {
-        let is_first = self.endings.add(&target.replica, attempt);
+        let is_first = self.crash_detector.add(&target.replica, attempt);
         let gateway = self.clone();
         let (service, target) = (service.to_owned(), target.clone());
         tokio::spawn(async move {
-            if attempt.sign == Sign::Broken && attempt.has_arrived() {
+            if attempt.symptom == Symptom::Broken && attempt.has_arrived() {
                 sleep(RECONNECT_DELAY).await;
                 gateway.suspect_crash(&target, attempt);
             }
@@ -241,10 +241,10 @@
 
     /// Records a suspected crash against a request that was in flight, unless
     /// the replica is known to be alive or leaving.
-    fn suspect_crash(&self, target: &Target, attempt: Stay) {
-        let crashed_at = self.endings.crashed_at(&target.replica);
+    fn suspect_crash(&self, target: &Target, attempt: Attempt) {
+        let crashed_at = self.crash_detector.crashed_at(&target.replica);
         let is_late = crashed_at
-            .is_none_or(|at| attempt.began_at > at + MAX_DISCONNECT_DELAY_MS);
+            .is_none_or(|at| attempt.sent_at > at + MAX_DISCONNECT_DELAY_MS);
         let since = heard_after(attempt.ended_at as i64);
         let is_alive =
             matches!(self.fate(target, since), Fate::Lives | Fate::Leaves);
@@ -257,11 +257,11 @@
 
     /// Watches a replica until its investigation is over, and records the
     /// crashes.
-    async fn conclude(&self, service: &str, target: &Target, first: Stay) {
+    async fn conclude(&self, service: &str, target: &Target, first: Attempt) {
         let since = first.ended_at;
-        let finding = self.watch(service, target, first.sign, since).await;
+        let finding = self.watch(service, target, first.symptom, since).await;
         let replica = &target.replica;
-        let attempts = self.endings.take(replica);
+        let attempts = self.crash_detector.take(replica);
         let Finding::Crashed(evidence) = finding else { return };
         let table = self.mesh.get().map(|mesh| mesh.table());
         let last_heard = table.and_then(|table| table.last_heard(replica));
@@ -283,11 +283,11 @@
         &self,
         service: &str,
         target: &Target,
-        sign: Sign,
+        symptom: Symptom,
         since: u64,
     ) -> Finding {
         let mut refused = false;
-        if sign == Sign::Broken {
+        if symptom == Symptom::Broken {
             sleep(RECONNECT_DELAY).await;
             let connections = &self.connections;
             refused = connections
--- a/src/gateway/flight.rs
+++ b/src/gateway/flight.rs
@@ -5,7 +5,7 @@
 use super::{
     Gateway,
     dialect::AnswerInfo,
-    ending::{Sign, Stay},
+    ending::{Attempt, Symptom},
     fleet::{End, Target},
     forward::AcceptedRequest,
 };
@@ -103,22 +103,22 @@
         let mut fleet = self.gateway.fleet();
         fleet.end(now, &self.service, ticket, self.has_started, self.end);
         drop(fleet);
-        let sign = match self.end {
-            End::Broken => Sign::Broken,
+        let symptom = match self.end {
+            End::Broken => Symptom::Broken,
             End::Failed | End::Left
                 if now >= self.heard_at + CRASH_SUSPICION_SILENCE_MS =>
             {
-                Sign::Silent
+                Symptom::Unresponsive
             }
             _ => return,
         };
-        let stay = Stay {
+        let attempt = Attempt {
             fingerprint: self.fingerprint,
-            began_at: self.began_at,
+            sent_at: self.began_at,
             heard_at: self.heard_at,
             ended_at: now,
-            sign,
+            symptom,
         };
-        self.gateway.examine(&self.service, &self.target, stay);
+        self.gateway.investigate_crash(&self.service, &self.target, attempt);
     }
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -59,7 +59,7 @@
 use self::{
     bodies::Budget,
     dialect::Dialect,
-    ending::Endings,
+    ending::CrashDetector,
     fleet::Fleet,
     plan::{Plan, Route, Team},
     quotas::Quotas,
@@ -124,7 +124,7 @@
     pub(crate) connections: Pool,
     pub(crate) metrics: Metrics,
     bodies: Budget,
-    endings: Endings,
+    crash_detector: CrashDetector,
     quarantine: Mutex<Quarantine>,
     rate_limits: Mutex<RateLimits>,
     /// Notified when this node learns of a request with several crashes.
@@ -171,7 +171,7 @@
             connections: Pool::default(),
             metrics: Metrics::open(),
             bodies: Budget::open(options.body_memory),
-            endings: Endings::default(),
+            crash_detector: CrashDetector::default(),
             quarantine: Mutex::default(),
             rate_limits: Mutex::default(),
             suspects_changed: Notify::new(),
