--- a/src/gateway/accept.rs
+++ b/src/gateway/accept.rs
@@ -76,7 +76,7 @@
     ]);
     let with_route =
         |refusal| Refusal { route: route.name.clone(), ..refusal };
-    gateway.keep_away(fingerprint, &service).map_err(with_route)?;
+    gateway.check_quarantine(fingerprint, &service).map_err(with_route)?;
     if let Some(team) = &team
         && let Some(quota) = team.quota
     {
--- a/src/gateway/flight.rs
+++ b/src/gateway/flight.rs
@@ -69,7 +69,7 @@
         let now = self.gateway.timer.now();
         let held_ms = now.saturating_sub(self.began_at) as u32;
         if self.proves_survival && !failure {
-            self.gateway.note_success(self.fingerprint);
+            self.gateway.record_success(self.fingerprint);
         }
         self.end = match failure {
             true => End::Failed,
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -289,7 +289,7 @@
             return false;
         }
         let quarantined =
-            self.gateway.kept_away(self.fingerprint, &self.service);
+            self.gateway.quarantine_reason(self.fingerprint, &self.service);
         if quarantined.is_some() {
             return false;
         }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -230,7 +230,7 @@
         let now = self.timer.now();
         self.fleet_refreshed_at.store(now, Ordering::Relaxed);
         let plan = self.plan.read();
-        self.expire_suspects();
+        self.expire_quarantine();
         let mut fleet = self.fleet();
         let table = mesh.table();
         fleet.refresh(now, &table, plan.as_ref().as_ref());
@@ -291,7 +291,7 @@
     /// Returns the report on this node's requests for the other nodes.
     pub fn local_report(&self) -> Own {
         let spent = self.spent();
-        let suspects = self.suspects();
+        let suspects = self.crash_reports();
         let limits = self.tell_limits();
         let mut fleet = self.fleet();
         let cached = fleet.take_cached(self.timer.now());
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -23,7 +23,7 @@
 };
 
 /// Reports to other nodes about requests that may have crashed replicas.
-pub(super) struct Suspects {
+pub(super) struct CrashReports {
     /// Confirmed crashes.
     pub crashes: Vec<Crash>,
     /// Suspected crashes.
@@ -116,7 +116,7 @@
     }
 
     /// Records that a request succeeded.
-    pub(super) fn note_success(&self, fingerprint: u64) {
+    pub(super) fn record_success(&self, fingerprint: u64) {
         let at = self.signed_now();
         self.clear(Success { fingerprint, at }, Source::Own);
     }
@@ -136,13 +136,13 @@
     }
 
     /// Removes expired records.
-    pub(super) fn expire_suspects(&self) {
+    pub(super) fn expire_quarantine(&self) {
         let now = self.signed_now();
         self.quarantine().expire(now);
     }
 
     /// Returns why a request to `service` is quarantined, if it is.
-    pub(super) fn kept_away(
+    pub(super) fn quarantine_reason(
         &self,
         fingerprint: u64,
         service: &str,
@@ -164,12 +164,12 @@
     }
 
     /// Refuses a quarantined request, unless this node grants it a trial now.
-    pub(super) fn keep_away(
+    pub(super) fn check_quarantine(
         &self,
         fingerprint: u64,
         service: &str,
     ) -> Result<(), Refusal> {
-        let Some(reason) = self.kept_away(fingerprint, service) else {
+        let Some(reason) = self.quarantine_reason(fingerprint, service) else {
             return Ok(());
         };
         let now = self.signed_now();
@@ -201,7 +201,7 @@
     }
 
     /// Returns the reports for the next datagrams to other nodes.
-    pub(super) fn suspects(&self) -> Suspects {
+    pub(super) fn crash_reports(&self) -> CrashReports {
         let now = self.signed_now();
         let report = self.quarantine().tell(now);
         self.to_wire(report)
@@ -209,12 +209,12 @@
 
     /// Returns the crashes of requests with several crashes, for a node that
     /// starts and for the disk.
-    pub fn several_crashes(&self) -> Vec<Crash> {
+    pub fn repeated_crashes(&self) -> Vec<Crash> {
         let report = self.quarantine().several();
         self.to_wire(report).crashes
     }
 
-    fn to_wire(&self, report: Word) -> Suspects {
+    fn to_wire(&self, report: Word) -> CrashReports {
         let now = self.signed_now();
         let age_ms = |at: i64| (now - at).clamp(0, u32::MAX.into()) as u32;
         let with_ages = |crashes: Vec<quarantine::Crash>| {
@@ -229,7 +229,7 @@
             fingerprint: success.fingerprint,
             age_ms: age_ms(success.at),
         });
-        Suspects {
+        CrashReports {
             crashes: with_ages(report.crashes),
             suspected: with_ages(report.suspected),
             successes: successes.collect(),
@@ -240,7 +240,7 @@
     ///
     /// `passes_on` is set if the sender reports to no other node; this node
     /// then forwards the reports.
-    pub fn hear_suspects(
+    pub fn receive_crash_reports(
         &self,
         crashes: &[Crash],
         successes: &[wire::Success],
@@ -268,8 +268,12 @@
     }
 
     /// Receives reports of suspected crashes; `passes_on` is as for
-    /// [`Gateway::hear_suspects`].
-    pub fn hear_suspected(&self, crashes: &[Crash], passes_on: bool) {
+    /// [`Gateway::receive_crash_reports`].
+    pub fn receive_suspected_crashes(
+        &self,
+        crashes: &[Crash],
+        passes_on: bool,
+    ) {
         let now = self.signed_now();
         let source = match passes_on {
             true => Source::Own,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -498,11 +498,11 @@
         successes: &[Success],
         passes_on: bool,
     ) {
-        self.gateway.hear_suspects(crashes, successes, passes_on);
+        self.gateway.receive_crash_reports(crashes, successes, passes_on);
     }
 
     fn suspected(&self, crashes: &[Crash], passes_on: bool) {
-        self.gateway.hear_suspected(crashes, passes_on);
+        self.gateway.receive_suspected_crashes(crashes, passes_on);
     }
 
     fn limits(&self, limits: &[RateLimit]) {
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -74,7 +74,7 @@
         let replicas =
             mesh.map_or(Vec::new(), |mesh| mesh.table().usable(now));
         let whole = self.node.knows_caches.load(Ordering::Relaxed);
-        let crashes = self.node.gateway.several_crashes();
+        let crashes = self.node.gateway.repeated_crashes();
         let limits = self.node.gateway.limits();
         Ok(Response::new(Sightings { whole, replicas, crashes, limits }))
     }
--- a/src/node/recall.rs
+++ b/src/node/recall.rs
@@ -120,7 +120,7 @@
         .iter()
         .map(|one| Crash { age_ms: one.age_ms.saturating_add(old_ms), ..*one })
         .collect();
-    node.gateway.hear_suspects(&crashes, &[], false);
+    node.gateway.receive_crash_reports(&crashes, &[], false);
 }
 
 /// Asks others for the plan, the replicas and what is left of quotas until all
@@ -168,7 +168,7 @@
 async fn learn_replicas(node: &Node, from: Ipv4Addr) -> bool {
     let answer = timeout(FIRST_LIMIT, ask_replicas(node, from)).await;
     let Some(known) = answered(answer, "replicas", from) else { return false };
-    node.gateway.hear_suspects(&known.crashes, &[], false);
+    node.gateway.receive_crash_reports(&known.crashes, &[], false);
     node.gateway.hear_limits(&known.limits);
     take_replicas(node, known.replicas, &from.to_string(), |says| says);
     known.whole
@@ -279,7 +279,7 @@
         caches: Some(Caches { whole: true, cached: node.gateway.cached() }),
         replicas: mesh.map_or(Vec::new(), |mesh| mesh.table().usable(now)),
         wall_ms: wall_ms(),
-        crashes: node.gateway.several_crashes(),
+        crashes: node.gateway.repeated_crashes(),
         levels: Some(node.gateway.levels()),
     }
 }
