--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -365,7 +365,7 @@
             response.status(),
             response.headers(),
         );
-        self.gateway.note_limit(
+        self.gateway.record_rate_limit(
             &target.replica,
             flight.began_at(),
             &answer_info,
@@ -581,7 +581,7 @@
             cached = chosen.map_or(0, |target| target.cached_tokens),
             fetches = chosen.is_some_and(|target| target.fetch_from.is_some()),
             takes_per_s = chosen.map_or(0.0, |target| {
-                self.gateway.named_rate(&target.replica)
+                self.gateway.announced_rate(&target.replica)
             }),
             ran = self.attempts.ran,
             turned_away = self.attempts.not_run,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -234,7 +234,7 @@
         let mut fleet = self.fleet();
         let table = mesh.table();
         fleet.refresh(now, &table, plan.as_ref().as_ref());
-        self.share_limits_by(&table, &mut fleet);
+        self.update_rate_limit_shares_in(&table, &mut fleet);
         self.connections.retain(|replica| fleet.has(replica));
         self.refresh_quotas(now, &table, plan.as_ref().as_ref());
         drop(table);
@@ -292,7 +292,7 @@
     pub fn local_report(&self) -> Own {
         let spent = self.spent();
         let suspects = self.crash_reports();
-        let limits = self.tell_limits();
+        let limits = self.next_rate_limit_reports();
         let mut fleet = self.fleet();
         let cached = fleet.take_cached(self.timer.now());
         Own {
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -40,7 +40,7 @@
 
     /// Records what a response says about its replica's rate limit; `sent_at`
     /// is when the request was sent.
-    pub(super) fn note_limit(
+    pub(super) fn record_rate_limit(
         &self,
         replica: &str,
         sent_at: u64,
@@ -67,7 +67,7 @@
         let replica = table::replica_hash(replica);
         let statement = Statement { replica, rate, at: at as i64 };
         if self.record_statement(statement, Source::Answer) {
-            self.share_limits();
+            self.update_rate_limit_shares();
             if let Some(mesh) = self.mesh.get() {
                 mesh.urge();
             }
@@ -98,14 +98,18 @@
     }
 
     /// Updates the router with this node's shares of all known rate limits.
-    fn share_limits(&self) {
+    fn update_rate_limit_shares(&self) {
         let Some(mesh) = self.mesh.get() else { return };
         let mut fleet = self.fleet();
-        self.share_limits_by(&mesh.table(), &mut fleet);
+        self.update_rate_limit_shares_in(&mesh.table(), &mut fleet);
     }
 
     /// Does the same with a mesh table and a fleet that are already locked.
-    pub(super) fn share_limits_by(&self, table: &Table, fleet: &mut Fleet) {
+    pub(super) fn update_rate_limit_shares_in(
+        &self,
+        table: &Table,
+        fleet: &mut Fleet,
+    ) {
         let now = self.timer.now();
         let mut limits = self.rate_limits();
         limits.expire(now as i64, |replica| fleet.knows(replica));
@@ -124,7 +128,7 @@
 
     /// Returns the rate limit that a replica announced, in requests a second;
     /// 0 without a limit. For the log.
-    pub(super) fn named_rate(&self, replica: &str) -> f32 {
+    pub(super) fn announced_rate(&self, replica: &str) -> f32 {
         let limits = self.rate_limits();
         match limits.is_empty() {
             true => 0.0,
@@ -133,7 +137,7 @@
     }
 
     /// Returns the statements for the next datagrams to other nodes.
-    pub(super) fn tell_limits(&self) -> Vec<RateLimit> {
+    pub(super) fn next_rate_limit_reports(&self) -> Vec<RateLimit> {
         let now = self.timer.now() as i64;
         let statements = self.rate_limits().tell(now);
         statements
@@ -143,14 +147,14 @@
     }
 
     /// Returns all statements, for a node that starts.
-    pub fn limits(&self) -> Vec<RateLimit> {
+    pub fn rate_limit_reports(&self) -> Vec<RateLimit> {
         let now = self.timer.now() as i64;
         let limits = self.rate_limits();
         limits.statements().map(|statement| to_wire(now, statement)).collect()
     }
 
     /// Receives statements about rate limits from another node.
-    pub fn hear_limits(&self, limits: &[RateLimit]) {
+    pub fn receive_rate_limits(&self, limits: &[RateLimit]) {
         let now = self.timer.now() as i64;
         let mut has_changed = false;
         for limit in limits {
@@ -163,7 +167,7 @@
             has_changed |= self.record_statement(statement, Source::Node);
         }
         if has_changed {
-            self.share_limits();
+            self.update_rate_limit_shares();
         }
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -506,7 +506,7 @@
     }
 
     fn limits(&self, limits: &[RateLimit]) {
-        self.gateway.hear_limits(limits);
+        self.gateway.receive_rate_limits(limits);
     }
 
     fn news(self: Arc<Self>, news: News) {
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -75,7 +75,7 @@
             mesh.map_or(Vec::new(), |mesh| mesh.table().usable(now));
         let whole = self.node.knows_caches.load(Ordering::Relaxed);
         let crashes = self.node.gateway.repeated_crashes();
-        let limits = self.node.gateway.limits();
+        let limits = self.node.gateway.rate_limit_reports();
         Ok(Response::new(Sightings { whole, replicas, crashes, limits }))
     }
 
--- a/src/node/recall.rs
+++ b/src/node/recall.rs
@@ -169,7 +169,7 @@
     let answer = timeout(FIRST_LIMIT, ask_replicas(node, from)).await;
     let Some(known) = answered(answer, "replicas", from) else { return false };
     node.gateway.receive_crash_reports(&known.crashes, &[], false);
-    node.gateway.hear_limits(&known.limits);
+    node.gateway.receive_rate_limits(&known.limits);
     take_replicas(node, known.replicas, &from.to_string(), |says| says);
     known.whole
 }
