--- a/src/gateway/accept.rs
+++ b/src/gateway/accept.rs
@@ -82,9 +82,9 @@
     {
         let cost = cost_of(&request_info, quota.default_tokens);
         let urgent = route.priority == 0;
-        let quota_known = || gateway.knows_quota(&team.name).then_some(());
+        let quota_known = || gateway.knows_quota_use(&team.name).then_some(());
         gateway.wait_at_start(quota_known).await;
-        let admitted = gateway.admit(&team.name, quota, cost, urgent);
+        let admitted = gateway.admit_by_quota(&team.name, quota, cost, urgent);
         admitted.map_err(with_route)?;
     }
     Ok(AcceptedRequest {
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -534,7 +534,7 @@
             && let Some(quota) = team.quota
         {
             let cost = cost_of(&self.request_info, quota.default_tokens);
-            self.gateway.give_back(&team.name, cost);
+            self.gateway.refund_quota(&team.name, cost);
         }
     }
 
--- a/src/gateway/quotas.rs
+++ b/src/gateway/quotas.rs
@@ -149,7 +149,7 @@
 
     /// Treats what other nodes have used until now as old use, because this
     /// node received no reports of it while it was a standby.
-    pub fn settle_quotas(&self) {
+    pub fn settle_quota_use(&self) {
         let now = self.timer.now();
         for bucket in &mut self.quotas().buckets {
             bucket.meter.settle(now);
@@ -158,7 +158,7 @@
 
     /// Marks this node as joining: other nodes may serve already, and what
     /// they have used is not known yet.
-    pub fn join_quotas(&self) {
+    pub fn start_joining_quotas(&self) {
         self.joins.store(true, Ordering::Relaxed);
     }
 
@@ -179,7 +179,7 @@
 
     /// Returns the known levels of the buckets, for a node that starts and for
     /// the disk.
-    pub fn levels(&self) -> wire::Levels {
+    pub fn quota_levels(&self) -> wire::Levels {
         let now = self.timer.now();
         let reach = self.reach();
         let plan = self.plan.read();
@@ -201,7 +201,7 @@
 
     /// Sets the levels of the buckets from another node or the disk, which
     /// `from` names.
-    pub fn learn_levels(&self, known: wire::Levels, from: &str) {
+    pub fn receive_quota_levels(&self, known: wire::Levels, from: &str) {
         let now = self.timer.now();
         let mut quotas = self.quotas();
         for level in &known.levels {
@@ -225,7 +225,7 @@
 
     /// Whether this node knows what other nodes have used of a team's quota.
     /// It does not if it has just started.
-    pub(super) fn knows_quota(&self, team: &str) -> bool {
+    pub(super) fn knows_quota_use(&self, team: &str) -> bool {
         let mut quotas = self.quotas();
         quotas.find(team).is_some_and(|meter| !meter.is_joining())
     }
@@ -254,7 +254,7 @@
     }
 
     /// Admits a team's request, or refuses it if the quota does not cover it.
-    pub(super) fn admit(
+    pub(super) fn admit_by_quota(
         &self,
         team: &str,
         quota: Quota,
@@ -280,7 +280,7 @@
     }
 
     /// Refunds the cost of a request that did not run.
-    pub(super) fn give_back(&self, team: &str, cost: u64) {
+    pub(super) fn refund_quota(&self, team: &str, cost: u64) {
         if let Some(meter) = self.quotas().find(team) {
             meter.give_back(cost);
         }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -176,7 +176,7 @@
     });
     // Whoever founds the whole system is first: nothing has been used.
     if !options.founds {
-        gateway.join_quotas();
+        gateway.start_joining_quotas();
     }
     let port = options.peers.port();
     let seeds: Vec<SocketAddr> =
@@ -520,7 +520,7 @@
         self.follow_mesh();
         if news.steps_in {
             // It was told little while it stood by.
-            self.gateway.settle_quotas();
+            self.gateway.settle_quota_use();
             tokio::spawn(recall::learn(self, None));
         }
     }
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -83,7 +83,7 @@
         &self,
         _: Request<Empty>,
     ) -> Result<Response<Levels>, Status> {
-        Ok(Response::new(self.node.gateway.levels()))
+        Ok(Response::new(self.node.gateway.quota_levels()))
     }
 
     async fn recall(
--- a/src/node/recall.rs
+++ b/src/node/recall.rs
@@ -105,7 +105,7 @@
     });
     take(node, &memory.caches.unwrap_or_default(), "the disk");
     if let Some(levels) = levels {
-        node.gateway.learn_levels(levels, "the disk");
+        node.gateway.receive_quota_levels(levels, "the disk");
     }
 }
 
@@ -157,7 +157,7 @@
     let answer = timeout(FIRST_LIMIT, ask_levels(node, from)).await;
     match answered(answer, "quotas", from) {
         Some(known) if !known.levels.is_empty() => {
-            node.gateway.learn_levels(known, &from.to_string());
+            node.gateway.receive_quota_levels(known, &from.to_string());
             true
         }
         _ => false,
@@ -280,7 +280,7 @@
         replicas: mesh.map_or(Vec::new(), |mesh| mesh.table().usable(now)),
         wall_ms: wall_ms(),
         crashes: node.gateway.repeated_crashes(),
-        levels: Some(node.gateway.levels()),
+        levels: Some(node.gateway.quota_levels()),
     }
 }
 
