--- a/src/gateway/accept.rs
+++ b/src/gateway/accept.rs
@@ -45,7 +45,7 @@
     };
     let current_plan = gateway.wait_at_start(read_plan).await;
     let Some(plan) = current_plan.as_deref().and_then(Option::as_ref) else {
-        return Err(Refusal::later(
+        return Err(Refusal::retryable(
             "no plan here yet",
             NO_PLAN_RETRY_AFTER_MS,
         ));
@@ -53,7 +53,7 @@
     let path = request.uri().path();
     let Some(route) = plan.route(&host, path) else {
         let status = StatusCode::NOT_FOUND;
-        return Err(Refusal::wrong(status, "no route leads there"));
+        return Err(Refusal::invalid(status, "no route leads there"));
     };
     let team = team_of(plan, route, &request_info)?;
     let limit = Duration::from_millis(
@@ -113,7 +113,8 @@
 /// host, is refused: the gateway and the replica could each use a different
 /// one of the hosts.
 fn host_of(request: &Request<Incoming>) -> Result<String, Refusal> {
-    let bad_request = |text| Refusal::broken(StatusCode::BAD_REQUEST, text);
+    let bad_request =
+        |text| Refusal::protocol_error(StatusCode::BAD_REQUEST, text);
     let mut hosts = request.headers().get_all(header::HOST).iter();
     let (Some(host), None) = (hosts.next(), hosts.next()) else {
         return Err(bad_request("needs one Host header"));
@@ -141,7 +142,7 @@
     }
     let team = request_info.key.as_deref().and_then(|key| plan.team(key));
     let status = StatusCode::UNAUTHORIZED;
-    team.map(Some).ok_or(Refusal::wrong(status, "unknown key"))
+    team.map(Some).ok_or(Refusal::invalid(status, "unknown key"))
 }
 
 /// Returns the units of quota that a request costs: its tokens, or 1 where the
@@ -164,8 +165,9 @@
     deadline: Instant,
     reservation: &mut Reservation,
 ) -> Result<Bytes, Refusal> {
-    let too_long =
-        || Refusal::broken(StatusCode::PAYLOAD_TOO_LARGE, "body too long");
+    let too_long = || {
+        Refusal::protocol_error(StatusCode::PAYLOAD_TOO_LARGE, "body too long")
+    };
     if body.size_hint().lower() > limits.max_body_bytes as u64 {
         return Err(too_long());
     }
@@ -177,11 +179,14 @@
             Ok(None) => break,
             Ok(Some(Err(_))) => {
                 let status = StatusCode::BAD_REQUEST;
-                return Err(Refusal::broken(status, "broken body"));
+                return Err(Refusal::protocol_error(status, "broken body"));
             }
             Err(_) => {
                 let status = StatusCode::REQUEST_TIMEOUT;
-                return Err(Refusal::broken(status, "the body stalled"));
+                return Err(Refusal::protocol_error(
+                    status,
+                    "the body stalled",
+                ));
             }
         };
         if let Ok(data) = frame.into_data() {
@@ -190,7 +195,8 @@
             }
             if !reservation.grow(read.len() + data.len()) {
                 let text = "too many bodies at once";
-                let refusal = Refusal::later(text, BODY_MEMORY_RETRY_AFTER_MS);
+                let refusal =
+                    Refusal::retryable(text, BODY_MEMORY_RETRY_AFTER_MS);
                 return Err(Refusal { close: true, ..refusal });
             }
             read.extend_from_slice(&data);
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -30,7 +30,7 @@
     flight::Flight,
     parts::{block_ends, prompt_blocks},
     plan::{RetryPolicy, Route, Team},
-    refusal::{Refusal, shown},
+    refusal::{Refusal, id_text},
     relay,
     server::{Body, full},
     upstream::{Connection, Error, Fault},
@@ -135,7 +135,7 @@
             run(accepted).await
         }
         Err(refusal) => {
-            refusal.note(&gateway.metrics, id.as_ref(), began);
+            refusal.record(&gateway.metrics, id.as_ref(), began);
             refusal.into_response()
         }
     }
@@ -174,7 +174,7 @@
                 accepted.refund_quota();
             }
             let refusal = Refusal { route, ..refusal };
-            refusal.note(&gateway.metrics, id.as_ref(), began);
+            refusal.record(&gateway.metrics, id.as_ref(), began);
             refusal.into_response()
         }
     }
@@ -187,13 +187,16 @@
     }
 
     async fn run(&mut self) -> Result<Reply, Refusal> {
-        let mut last =
-            Refusal::later("no replica is there", NO_REPLICA_RETRY_AFTER_MS);
+        let mut last = Refusal::retryable(
+            "no replica is there",
+            NO_REPLICA_RETRY_AFTER_MS,
+        );
         let mut answer = None;
         loop {
             if Instant::now() >= self.deadline {
                 let verdict = last.verdict;
-                return self.answer_or_refuse(answer, Refusal::late(verdict));
+                return self
+                    .answer_or_refuse(answer, Refusal::timed_out(verdict));
             }
             let tried = self.attempts.ran + self.attempts.not_run;
             let target = match tried {
@@ -230,7 +233,7 @@
                 Err(failed) => {
                     info!(
                         target: "gateway",
-                        request = shown(self.request_info.id.as_ref()),
+                        request = id_text(self.request_info.id.as_ref()),
                         fingerprint = fingerprint::shown(self.fingerprint),
                         replica = target.replica,
                         verdict = failed.verdict.as_str(),
@@ -239,15 +242,17 @@
                     );
                     self.attempts.note(&target.replica, failed.verdict);
                     last = match (failed.verdict, failed.sent) {
-                        (Verdict::NotRun, true) => Refusal::later(
+                        (Verdict::NotRun, true) => Refusal::retryable(
                             "the replicas are full",
                             REPLICAS_FULL_RETRY_AFTER_MS,
                         ),
-                        (Verdict::NotRun, false) => Refusal::later(
+                        (Verdict::NotRun, false) => Refusal::retryable(
                             "no replica can be reached",
                             NO_REPLICA_RETRY_AFTER_MS,
                         ),
-                        _ => Refusal::doubtful("the replica did not answer"),
+                        _ => {
+                            Refusal::may_have_run("the replica did not answer")
+                        }
                     };
                     if self.attempts.ran > 0 {
                         last.verdict = Verdict::MayHaveRun;
@@ -255,10 +260,10 @@
                     if self.attempts.ran > 0
                         && failed.verdict == Verdict::NotRun
                     {
-                        last = Refusal::doubtful("no replica answered");
+                        last = Refusal::may_have_run("no replica answered");
                     }
                     if Instant::now() >= self.deadline {
-                        last = Refusal::late(last.verdict);
+                        last = Refusal::timed_out(last.verdict);
                     }
                 }
             }
@@ -565,7 +570,7 @@
         let chosen = self.chosen.as_ref();
         info!(
             target: "gateway",
-            request = shown(self.request_info.id.as_ref()),
+            request = id_text(self.request_info.id.as_ref()),
             fingerprint = fingerprint::shown(self.fingerprint),
             team = self.team.as_ref().map_or("", |team| &team.name),
             route = self.route.name,
--- a/src/gateway/overload.rs
+++ b/src/gateway/overload.rs
@@ -18,7 +18,7 @@
         let now = self.now();
         let queue = self.gateway.fleet().queue(now, &self.service)?;
         let text = "the replicas take no more for now";
-        let refusal = Refusal::later(text, queue.wait_ms);
+        let refusal = Refusal::retryable(text, queue.wait_ms);
         let cause = Some(Box::new(Cause::Limit(queue)));
         Some(Refusal { cause, ..refusal })
     }
@@ -50,7 +50,7 @@
                 limit_ms: limit_ms as u64,
             };
             let cause = Some(Box::new(cause));
-            Refusal { cause, ..Refusal::later(text, wait_ms) }
+            Refusal { cause, ..Refusal::retryable(text, wait_ms) }
         })
     }
 }
--- a/src/gateway/quotas.rs
+++ b/src/gateway/quotas.rs
@@ -275,7 +275,7 @@
                 heard: (allowance.heard * 100.0) as u64,
                 joining: meter.is_joining(),
             };
-            Refusal::quota(shortage.wait_ms, cause)
+            Refusal::quota_exhausted(shortage.wait_ms, cause)
         })
     }
 
--- a/src/gateway/refusal.rs
+++ b/src/gateway/refusal.rs
@@ -85,7 +85,7 @@
 
 impl Refusal {
     /// Refuses an invalid request, for which a retry is pointless.
-    pub fn wrong(status: StatusCode, text: &'static str) -> Refusal {
+    pub fn invalid(status: StatusCode, text: &'static str) -> Refusal {
         Refusal {
             status,
             verdict: Verdict::NotRun,
@@ -99,28 +99,28 @@
 
     /// Refuses a request that violates the protocol or its limits. What
     /// follows on the connection can't be trusted, so it is closed.
-    pub fn broken(status: StatusCode, text: &'static str) -> Refusal {
-        Refusal { close: true, ..Refusal::wrong(status, text) }
+    pub fn protocol_error(status: StatusCode, text: &'static str) -> Refusal {
+        Refusal { close: true, ..Refusal::invalid(status, text) }
     }
 
     /// Refuses a request that did not run and may be retried.
-    pub fn later(text: &'static str, retry_after_ms: u64) -> Refusal {
+    pub fn retryable(text: &'static str, retry_after_ms: u64) -> Refusal {
         let retry_after_ms = Some(retry_after_ms.max(MIN_RETRY_AFTER_MS));
         let status = StatusCode::SERVICE_UNAVAILABLE;
-        Refusal { retry_after_ms, ..Refusal::wrong(status, text) }
+        Refusal { retry_after_ms, ..Refusal::invalid(status, text) }
     }
 
     /// Refuses a request of a team whose quota is used up.
-    pub fn quota(retry_after_ms: u64, cause: Cause) -> Refusal {
+    pub fn quota_exhausted(retry_after_ms: u64, cause: Cause) -> Refusal {
         let text = "the team's quota is used up";
-        let refusal = Refusal::later(text, retry_after_ms);
+        let refusal = Refusal::retryable(text, retry_after_ms);
         let status = StatusCode::TOO_MANY_REQUESTS;
         let cause = Some(Box::new(cause));
         Refusal { status, cause, ..refusal }
     }
 
     /// Reports that a request may have run but has no complete response.
-    pub fn doubtful(text: &'static str) -> Refusal {
+    pub fn may_have_run(text: &'static str) -> Refusal {
         Refusal {
             status: StatusCode::BAD_GATEWAY,
             verdict: Verdict::MayHaveRun,
@@ -133,19 +133,19 @@
     }
 
     /// Reports that a request timed out.
-    pub fn late(verdict: Verdict) -> Refusal {
+    pub fn timed_out(verdict: Verdict) -> Refusal {
         let text = "no answer in time";
         match verdict {
-            Verdict::NotRun => Refusal::later(text, MIN_RETRY_AFTER_MS),
+            Verdict::NotRun => Refusal::retryable(text, MIN_RETRY_AFTER_MS),
             _ => Refusal {
                 status: StatusCode::GATEWAY_TIMEOUT,
-                ..Refusal::doubtful(text)
+                ..Refusal::may_have_run(text)
             },
         }
     }
 
     /// Counts the refusal and logs it with its cause.
-    pub(super) fn note(
+    pub(super) fn record(
         &self,
         metrics: &Metrics,
         id: Option<&HeaderValue>,
@@ -155,7 +155,7 @@
         let verdict = self.verdict.as_str();
         let outcome = Outcome { status, verdict };
         metrics.outcomes.get_or_create(&outcome).inc();
-        let request = shown(id);
+        let request = id_text(id);
         let after_ms = began.elapsed().as_millis() as u64;
         let retry_after_ms = self.retry_after_ms.unwrap_or(0);
         let text = self.text;
@@ -233,6 +233,6 @@
 }
 
 /// Returns a request's id for the log, or `-` if it has none.
-pub(super) fn shown(id: Option<&HeaderValue>) -> &str {
+pub(super) fn id_text(id: Option<&HeaderValue>) -> &str {
     id.and_then(|id| id.to_str().ok()).unwrap_or("-")
 }
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -197,7 +197,7 @@
         let cause = Cause::Crashes { fingerprint, reason };
         let cause = Some(Box::new(cause));
         let wait_ms = reason.retry_after_ms();
-        Err(Refusal { cause, ..Refusal::later(text, wait_ms) })
+        Err(Refusal { cause, ..Refusal::retryable(text, wait_ms) })
     }
 
     /// Returns the reports for the next datagrams to other nodes.
