--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -102,7 +102,7 @@
                     blocks: 8,
                 })
                 .collect();
-            fleet.note_cached(20 + turn * 2000, &parts);
+            fleet.record_cached_reports(20 + turn * 2000, &parts);
         });
         let refresh = time(|turn| {
             fleet.refresh(20 + turn % 1000, &table, None);
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -247,7 +247,7 @@
     ///
     /// The last part is left out: it belongs to this request alone, so no
     /// other request will contain it.
-    pub fn note_sent(
+    pub fn record_sent_parts(
         &mut self,
         now: u64,
         service: &str,
@@ -273,14 +273,14 @@
     }
 
     /// Returns the newest parts sent to replicas, for the other nodes.
-    pub fn take_cached(&mut self, now: u64) -> Vec<Cached> {
+    pub fn next_cached_reports(&mut self, now: u64) -> Vec<Cached> {
         self.cached.retain(|(at, _)| now < at + REPORT_PERIOD_MS);
         let newest = self.cached.iter().rev().take(MAX_REPORTED_PARTS);
         newest.map(|(_, cached)| *cached).collect()
     }
 
     /// Records parts that other nodes have sent to replicas.
-    pub fn note_cached(&mut self, now: u64, cached: &[Cached]) {
+    pub fn record_cached_reports(&mut self, now: u64, cached: &[Cached]) {
         for part in cached {
             if !self.memory.note(now, *part) {
                 continue;
@@ -301,7 +301,7 @@
     }
 
     /// Counts a first attempt at a service.
-    pub fn sent(&mut self, now: u64, service: &str) {
+    pub fn record_first_attempt(&mut self, now: u64, service: &str) {
         if let Some(routed) = self.find(service) {
             routed.repeats.sent(now);
         }
@@ -309,14 +309,19 @@
 
     /// Counts a retry at a service and returns true if the retry budget allows
     /// one.
-    pub fn repeat(&mut self, now: u64, service: &str, entries: usize) -> bool {
+    pub fn try_retry(
+        &mut self,
+        now: u64,
+        service: &str,
+        entries: usize,
+    ) -> bool {
         self.find(service)
             .is_some_and(|routed| routed.repeats.repeat(now, entries))
     }
 
     /// Records that a replica began to answer, with the load that it
     /// announced.
-    pub fn began(
+    pub fn record_start(
         &mut self,
         now: u64,
         service: &str,
@@ -336,37 +341,42 @@
     }
 
     /// Records that a piece of a response arrived.
-    pub fn progress(&mut self, now: u64, service: &str, ticket: Ticket) {
+    pub fn record_progress(
+        &mut self,
+        now: u64,
+        service: &str,
+        ticket: Ticket,
+    ) {
         if let Some(routed) = self.find(service) {
             routed.pool.progress(now, ticket, false);
         }
     }
 
     /// Records the end of an attempt.
-    pub fn end(
+    pub fn record_end(
         &mut self,
         now: u64,
         service: &str,
         ticket: Ticket,
         started: bool,
-        end: End,
+        outcome: Outcome,
     ) {
         let Some(routed) = self.find(service) else { return };
-        match end {
-            End::Well { held_ms } => {
+        match outcome {
+            Outcome::Completed { held_ms } => {
                 routed.pool.end(now, ticket, started, Some(held_ms as f32));
             }
-            End::Failed | End::Broken => {
+            Outcome::Failed | Outcome::Disconnected => {
                 routed.pool.end(now, ticket, started, None);
             }
-            End::Left => routed.pool.abandon(ticket, now, started),
-            End::Unsent => routed.pool.take_back(ticket, now),
+            Outcome::Abandoned => routed.pool.abandon(ticket, now, started),
+            Outcome::NotSent => routed.pool.take_back(ticket, now),
         }
     }
 
     /// Sets this node's shares of the replicas' rate limits, sorted by
     /// replica.
-    pub fn set_limits(&mut self, now: u64, parts: &[Part]) {
+    pub fn set_rate_limits(&mut self, now: u64, parts: &[Part]) {
         for service in &mut self.services {
             service.pool.set_limits(now, parts);
         }
@@ -374,7 +384,7 @@
 
     /// Queues a caller for whom the rate limits of a service's replicas leave
     /// no room now; returns `None` if no replica has announced a rate limit.
-    pub fn queue(&mut self, now: u64, service: &str) -> Option<Queue> {
+    pub fn enqueue(&mut self, now: u64, service: &str) -> Option<Queue> {
         let routed = self.find(service)?;
         let (replicas, rate) = routed.pool.limited()?;
         let own = rate / (routed.pool.peers() + 1.0);
@@ -398,7 +408,7 @@
     }
 
     /// Returns this node's requests in flight, for the other nodes.
-    pub fn under(&self) -> Vec<Under> {
+    pub fn in_flight(&self) -> Vec<Under> {
         let pools = self.services.iter().flat_map(|routed| routed.pool.own());
         pools
             .filter(|(_, count, _)| *count > 0)
@@ -444,7 +454,7 @@
     }
 
     /// Whether the replica with this id may be used.
-    pub fn has(&self, replica: &str) -> bool {
+    pub fn has_replica(&self, replica: &str) -> bool {
         self.services.iter().any(|service| {
             position(&service.places, replica, |place| place.replica.as_str())
                 .is_ok()
@@ -469,21 +479,21 @@
 common! {
     copy
     /// How an attempt ended.
-    pub enum End {
+    pub enum Outcome {
         /// The response is complete.
-        Well {
+        Completed {
             /// Time for which the request held its slot, in ms.
             held_ms: u32,
         },
         /// The replica failed.
         Failed,
         /// The replica closed the connection before the response was complete.
-        Broken,
+        Disconnected,
         /// The attempt was given up for a reason that says nothing about the
         /// replica.
-        Left,
+        Abandoned,
         /// The request was not sent.
-        Unsent,
+        NotSent,
     }
 }
 
--- a/src/gateway/flight.rs
+++ b/src/gateway/flight.rs
@@ -6,7 +6,7 @@
     Gateway,
     dialect::AnswerInfo,
     ending::{Attempt, Symptom},
-    fleet::{End, Target},
+    fleet::{Outcome, Target},
     forward::AcceptedRequest,
 };
 
@@ -28,7 +28,7 @@
     /// request.
     proves_survival: bool,
     /// The outcome that is counted on drop.
-    pub end: End,
+    pub end: Outcome,
 }
 
 impl Flight {
@@ -45,7 +45,7 @@
             proves_survival: false,
             // The outcome when the caller disconnects and the attempt is
             // dropped.
-            end: End::Left,
+            end: Outcome::Abandoned,
         }
     }
 
@@ -61,7 +61,7 @@
         let now = self.gateway.timer.now();
         self.heard_at = now;
         let mut fleet = self.gateway.fleet();
-        fleet.began(now, &self.service, &self.target, answer_info.load);
+        fleet.record_start(now, &self.service, &self.target, answer_info.load);
     }
 
     /// Notes that the answer was read to its end.
@@ -72,8 +72,8 @@
             self.gateway.record_success(self.fingerprint);
         }
         self.end = match failure {
-            true => End::Failed,
-            false => End::Well { held_ms },
+            true => Outcome::Failed,
+            false => Outcome::Completed { held_ms },
         };
     }
 
@@ -82,7 +82,7 @@
         let now = self.gateway.timer.now();
         self.heard_at = now;
         let ticket = self.target.ticket;
-        self.gateway.fleet().progress(now, &self.service, ticket);
+        self.gateway.fleet().record_progress(now, &self.service, ticket);
     }
 
     /// Returns when the attempt began, in ms.
@@ -101,11 +101,17 @@
         let now = self.gateway.timer.now();
         let ticket = self.target.ticket;
         let mut fleet = self.gateway.fleet();
-        fleet.end(now, &self.service, ticket, self.has_started, self.end);
+        fleet.record_end(
+            now,
+            &self.service,
+            ticket,
+            self.has_started,
+            self.end,
+        );
         drop(fleet);
         let symptom = match self.end {
-            End::Broken => Symptom::Broken,
-            End::Failed | End::Left
+            Outcome::Disconnected => Symptom::Broken,
+            Outcome::Failed | Outcome::Abandoned
                 if now >= self.heard_at + CRASH_SUSPICION_SILENCE_MS =>
             {
                 Symptom::Unresponsive
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -26,7 +26,7 @@
     accept::{accept, cost_of, remove_hop_by_hop_headers},
     bodies::Reservation,
     dialect::{AnswerInfo, AttemptInfo, RequestInfo},
-    fleet::{End, Target},
+    fleet::{Outcome, Target},
     flight::Flight,
     parts::{block_ends, prompt_blocks},
     plan::{RetryPolicy, Route, Team},
@@ -215,9 +215,11 @@
                 return self.answer_or_refuse(answer, refusal);
             }
             if tried == 0 {
-                self.gateway.fleet().sent(self.now(), &self.service);
+                self.gateway
+                    .fleet()
+                    .record_first_attempt(self.now(), &self.service);
             }
-            self.gateway.fleet().note_sent(
+            self.gateway.fleet().record_sent_parts(
                 self.now(),
                 &self.service,
                 &target,
@@ -300,7 +302,7 @@
         }
         let entries = self.gateway.entries();
         let now = self.now();
-        self.gateway.fleet().repeat(now, &self.service, entries)
+        self.gateway.fleet().try_retry(now, &self.service, entries)
     }
 
     /// Returns the router's choice among the replicas that have not been
@@ -330,7 +332,13 @@
     fn release(&self, target: &Target) {
         let now = self.now();
         let mut fleet = self.gateway.fleet();
-        fleet.end(now, &self.service, target.ticket, false, End::Unsent);
+        fleet.record_end(
+            now,
+            &self.service,
+            target.ticket,
+            false,
+            Outcome::NotSent,
+        );
     }
 
     /// Returns the team's priority, or the route's if the team has none.
@@ -351,7 +359,7 @@
             .take(&target.replica, target.address, self.deadline)
             .await;
         let mut connection =
-            taken.inspect_err(|_| flight.end = End::Failed)?;
+            taken.inspect_err(|_| flight.end = Outcome::Failed)?;
         let request = self.request(target, last_event)?;
         let max_silence = self.max_silence(target);
         let sent =
@@ -360,8 +368,8 @@
             let due = Instant::now() < self.deadline;
             if due || failed.verdict != Verdict::MayHaveRun {
                 flight.end = match failed.fault {
-                    Fault::Broken => End::Broken,
-                    _ => End::Failed,
+                    Fault::Broken => Outcome::Disconnected,
+                    _ => Outcome::Failed,
                 };
             }
         })?;
@@ -403,18 +411,18 @@
             Err(Error { verdict, sent: true, fault: Fault::Other, text })
         };
         if !answer_info.matches {
-            flight.end = End::Failed;
+            flight.end = Outcome::Failed;
             return failed(
                 Verdict::MayHaveRun,
                 "the answer belongs to another request",
             );
         }
         if answer_info.wrong_replica {
-            flight.end = End::Failed;
+            flight.end = Outcome::Failed;
             return failed(Verdict::NotRun, "another replica has the address");
         }
         if answer_info.not_run {
-            flight.end = End::Failed;
+            flight.end = Outcome::Failed;
             return failed(Verdict::NotRun, "the replica rejected it");
         }
         Ok(())
@@ -449,7 +457,7 @@
                 }
                 Ok(None) => break,
                 Ok(Some(Err(error))) => {
-                    flight.end = End::Broken;
+                    flight.end = Outcome::Disconnected;
                     return Err(Error {
                         verdict: Verdict::Ran,
                         sent: true,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -235,7 +235,7 @@
         let table = mesh.table();
         fleet.refresh(now, &table, plan.as_ref().as_ref());
         self.update_rate_limit_shares_in(&table, &mut fleet);
-        self.connections.retain(|replica| fleet.has(replica));
+        self.connections.retain(|replica| fleet.has_replica(replica));
         self.refresh_quotas(now, &table, plan.as_ref().as_ref());
         drop(table);
         self.changed.send_replace(());
@@ -294,9 +294,9 @@
         let suspects = self.crash_reports();
         let limits = self.next_rate_limit_reports();
         let mut fleet = self.fleet();
-        let cached = fleet.take_cached(self.timer.now());
+        let cached = fleet.next_cached_reports(self.timer.now());
         Own {
-            under: fleet.under(),
+            under: fleet.in_flight(),
             spent,
             work: fleet.work(),
             cached,
@@ -310,7 +310,7 @@
 
     /// Records the prompt parts that other nodes have sent to replicas.
     pub fn record_cached_reports(&self, cached: &[Cached]) {
-        self.fleet().note_cached(self.timer.now(), cached);
+        self.fleet().record_cached_reports(self.timer.now(), cached);
     }
 
     /// Returns the prompt parts that replicas were sent recently, by this node
--- a/src/gateway/overload.rs
+++ b/src/gateway/overload.rs
@@ -16,7 +16,7 @@
     /// Refuses a request while the rate limits of all replicas are used up.
     pub fn limited(&self) -> Option<Refusal> {
         let now = self.now();
-        let queue = self.gateway.fleet().queue(now, &self.service)?;
+        let queue = self.gateway.fleet().enqueue(now, &self.service)?;
         let text = "the replicas take no more for now";
         let refusal = Refusal::retryable(text, queue.wait_ms);
         let cause = Some(Box::new(Cause::Limit(queue)));
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -123,7 +123,7 @@
             })
             .collect();
         drop(limits);
-        fleet.set_limits(now, &parts);
+        fleet.set_rate_limits(now, &parts);
     }
 
     /// Returns the rate limit that a replica announced, in requests a second;
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -18,7 +18,7 @@
 
 use super::{
     events::Splitter,
-    fleet::End,
+    fleet::Outcome,
     flight::Flight,
     forward::{AcceptedRequest, Reply},
     plan::RetryPolicy,
@@ -120,7 +120,7 @@
         let frame = match timeout_at(until, source.body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
             Ok(Some(Err(_))) => {
-                source.flight.end = End::Broken;
+                source.flight.end = Outcome::Disconnected;
                 return Received::Broken("the replica's connection broke");
             }
             Ok(None) if !self.is_event_stream => return Received::End,
@@ -128,7 +128,7 @@
                 return Received::End;
             }
             Ok(None) => {
-                source.flight.end = End::Broken;
+                source.flight.end = Outcome::Disconnected;
                 return Received::Broken("the answer ended within an event");
             }
             Err(_) if Instant::now() >= deadline => return Received::Timeout,
@@ -197,8 +197,8 @@
     /// possible.
     async fn resume(&mut self, reason: &'static str) -> bool {
         if let Some(mut source) = self.source.take() {
-            if source.flight.end != End::Broken {
-                source.flight.end = End::Failed;
+            if source.flight.end != Outcome::Disconnected {
+                source.flight.end = Outcome::Failed;
             }
             let replica = source.flight.replica().to_owned();
             self.accepted.attempts.note(&replica, Verdict::Ran);
--- a/tests/all/fleet.rs
+++ b/tests/all/fleet.rs
@@ -3,7 +3,7 @@
 use azuremount::{
     decide::{retry::Bound, route::Ask},
     gateway::{
-        fleet::{End, Fleet},
+        fleet::{Fleet, Outcome},
         plan::Plan,
     },
     mesh::table::Table,
@@ -40,7 +40,13 @@
     let mut used = Vec::new();
     for _ in 0..200 {
         if let Some(target) = fleet.pick(now, "app", &ASK) {
-            fleet.end(now, "app", target.ticket, false, End::Left);
+            fleet.record_end(
+                now,
+                "app",
+                target.ticket,
+                false,
+                Outcome::Abandoned,
+            );
             used.push((target.replica, target.address.to_string()));
         }
     }
