--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -205,12 +205,12 @@
             };
             let Some(target) = target else {
                 let refusal = match tried {
-                    0 => self.limited().unwrap_or(last),
+                    0 => self.check_rate_limits().unwrap_or(last),
                     _ => last,
                 };
                 return self.answer_or_refuse(answer, refusal);
             };
-            if let Some(refusal) = self.overload(&target, tried) {
+            if let Some(refusal) = self.check_predicted_wait(&target, tried) {
                 self.release(&target);
                 return self.answer_or_refuse(answer, refusal);
             }
--- a/src/gateway/overload.rs
+++ b/src/gateway/overload.rs
@@ -14,7 +14,7 @@
 
 impl AcceptedRequest {
     /// Refuses a request while the rate limits of all replicas are used up.
-    pub fn limited(&self) -> Option<Refusal> {
+    pub fn check_rate_limits(&self) -> Option<Refusal> {
         let now = self.now();
         let queue = self.gateway.fleet().enqueue(now, &self.service)?;
         let text = "the replicas take no more for now";
@@ -30,7 +30,11 @@
     /// are being read. Refusing the requests that would be late keeps the rest
     /// on time. More urgent requests may be predicted to wait longer, as
     /// replicas let them overtake.
-    pub fn overload(&self, target: &Target, tried: u32) -> Option<Refusal> {
+    pub fn check_predicted_wait(
+        &self,
+        target: &Target,
+        tried: u32,
+    ) -> Option<Refusal> {
         if tried > 0 || !self.route.retry_policy.is_stream() {
             return None;
         }
