--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -268,7 +268,7 @@
                 blocks: block_count(part),
             };
             self.cached.push((now, cached));
-            self.memory.note(now, cached);
+            self.memory.record(now, cached);
         }
     }
 
@@ -282,7 +282,7 @@
     /// Records parts that other nodes have sent to replicas.
     pub fn record_cached_reports(&mut self, now: u64, cached: &[Cached]) {
         for part in cached {
-            if !self.memory.note(now, *part) {
+            if !self.memory.record(now, *part) {
                 continue;
             }
             let routed = self
@@ -580,7 +580,7 @@
             });
             if at.is_err() {
                 let hash = replica.hash();
-                for cached in memory.of(hash) {
+                for cached in memory.parts_of(hash) {
                     self.pool.sent_elsewhere(hash, &cached_blocks(cached));
                 }
             }
--- a/src/gateway/memory.rs
+++ b/src/gateway/memory.rs
@@ -39,7 +39,7 @@
 impl Memory {
     /// Records that a replica was sent a part; returns true unless this was
     /// already recorded within the report window.
-    pub fn note(&mut self, now: u64, cached: Cached) -> bool {
+    pub fn record(&mut self, now: u64, cached: Cached) -> bool {
         let part = Part { cached, recorded_at: now };
         match self.parts.binary_search_by_key(&part.key(), Part::key) {
             Ok(at) => {
@@ -54,7 +54,7 @@
     }
 
     /// Returns the parts that one replica was sent.
-    pub fn of(&self, replica: u64) -> impl Iterator<Item = &Cached> {
+    pub fn parts_of(&self, replica: u64) -> impl Iterator<Item = &Cached> {
         let from =
             self.parts.partition_point(|part| part.cached.replica < replica);
         self.parts[from..]
