--- a/src/gateway/flight.rs
+++ b/src/gateway/flight.rs
@@ -5,8 +5,8 @@
 use super::{
     Gateway,
     dialect::AnswerInfo,
-    ending::{Sign, Stay},
-    fleet::{End, Target},
+    ending::{Attempt, Symptom},
+    fleet::{Outcome, Target},
     forward::AcceptedRequest,
 };
 
@@ -28,7 +28,7 @@
     /// request.
     proves_survival: bool,
     /// The outcome that is counted on drop.
-    pub end: End,
+    pub end: Outcome,
 }
 
 impl Flight {
@@ -45,7 +45,7 @@
             proves_survival: false,
             // The outcome when the caller disconnects and the attempt is
             // dropped.
-            end: End::Left,
+            end: Outcome::Abandoned,
         }
     }
 
@@ -61,7 +61,7 @@
         let now = self.gateway.timer.now();
         self.heard_at = now;
         let mut fleet = self.gateway.fleet();
-        fleet.began(now, &self.service, &self.target, answer_info.load);
+        fleet.record_start(now, &self.service, &self.target, answer_info.load);
     }
 
     /// Notes that the answer was read to its end.
@@ -69,11 +69,11 @@
         let now = self.gateway.timer.now();
         let held_ms = now.saturating_sub(self.began_at) as u32;
         if self.proves_survival && !failure {
-            self.gateway.note_success(self.fingerprint);
+            self.gateway.record_success(self.fingerprint);
         }
         self.end = match failure {
-            true => End::Failed,
-            false => End::Well { held_ms },
+            true => Outcome::Failed,
+            false => Outcome::Completed { held_ms },
         };
     }
 
@@ -82,7 +82,7 @@
         let now = self.gateway.timer.now();
         self.heard_at = now;
         let ticket = self.target.ticket;
-        self.gateway.fleet().progress(now, &self.service, ticket);
+        self.gateway.fleet().record_progress(now, &self.service, ticket);
     }
 
     /// Returns when the attempt began, in ms.
@@ -101,24 +101,30 @@
         let now = self.gateway.timer.now();
         let ticket = self.target.ticket;
         let mut fleet = self.gateway.fleet();
-        fleet.end(now, &self.service, ticket, self.has_started, self.end);
+        fleet.record_end(
+            now,
+            &self.service,
+            ticket,
+            self.has_started,
+            self.end,
+        );
         drop(fleet);
-        let sign = match self.end {
-            End::Broken => Sign::Broken,
-            End::Failed | End::Left
+        let symptom = match self.end {
+            Outcome::Disconnected => Symptom::Broken,
+            Outcome::Failed | Outcome::Abandoned
                 if now >= self.heard_at + CRASH_SUSPICION_SILENCE_MS =>
             {
-                Sign::Silent
+                Symptom::Unresponsive
             }
             _ => return,
         };
-        let stay = Stay {
+        let attempt = Attempt {
             fingerprint: self.fingerprint,
-            began_at: self.began_at,
+            sent_at: self.began_at,
             heard_at: self.heard_at,
             ended_at: now,
-            sign,
+            symptom,
         };
-        self.gateway.examine(&self.service, &self.target, stay);
+        self.gateway.investigate_crash(&self.service, &self.target, attempt);
     }
 }
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -26,11 +26,11 @@
     accept::{accept, cost_of, remove_hop_by_hop_headers},
     bodies::Reservation,
     dialect::{AnswerInfo, AttemptInfo, RequestInfo},
-    fleet::{End, Target},
+    fleet::{Outcome, Target},
     flight::Flight,
     parts::{block_ends, prompt_blocks},
     plan::{RetryPolicy, Route, Team},
-    refusal::{Refusal, shown},
+    refusal::{Refusal, id_text},
     relay,
     server::{Body, full},
     upstream::{Connection, Error, Fault},
@@ -135,7 +135,7 @@
             run(accepted).await
         }
         Err(refusal) => {
-            refusal.note(&gateway.metrics, id.as_ref(), began);
+            refusal.record(&gateway.metrics, id.as_ref(), began);
             refusal.into_response()
         }
     }
@@ -174,7 +174,7 @@
                 accepted.refund_quota();
             }
             let refusal = Refusal { route, ..refusal };
-            refusal.note(&gateway.metrics, id.as_ref(), began);
+            refusal.record(&gateway.metrics, id.as_ref(), began);
             refusal.into_response()
         }
     }
@@ -187,13 +187,16 @@
     }
 
     async fn run(&mut self) -> Result<Reply, Refusal> {
-        let mut last =
-            Refusal::later("no replica is there", NO_REPLICA_RETRY_AFTER_MS);
+        let mut last = Refusal::retryable(
+            "no replica is there",
+            NO_REPLICA_RETRY_AFTER_MS,
+        );
         let mut answer = None;
         loop {
             if Instant::now() >= self.deadline {
                 let verdict = last.verdict;
-                return self.answer_or_refuse(answer, Refusal::late(verdict));
+                return self
+                    .answer_or_refuse(answer, Refusal::timed_out(verdict));
             }
             let tried = self.attempts.ran + self.attempts.not_run;
             let target = match tried {
@@ -202,19 +205,21 @@
             };
             let Some(target) = target else {
                 let refusal = match tried {
-                    0 => self.limited().unwrap_or(last),
+                    0 => self.check_rate_limits().unwrap_or(last),
                     _ => last,
                 };
                 return self.answer_or_refuse(answer, refusal);
             };
-            if let Some(refusal) = self.overload(&target, tried) {
+            if let Some(refusal) = self.check_predicted_wait(&target, tried) {
                 self.release(&target);
                 return self.answer_or_refuse(answer, refusal);
             }
             if tried == 0 {
-                self.gateway.fleet().sent(self.now(), &self.service);
+                self.gateway
+                    .fleet()
+                    .record_first_attempt(self.now(), &self.service);
             }
-            self.gateway.fleet().note_sent(
+            self.gateway.fleet().record_sent_parts(
                 self.now(),
                 &self.service,
                 &target,
@@ -230,7 +235,7 @@
                 Err(failed) => {
                     info!(
                         target: "gateway",
-                        request = shown(self.request_info.id.as_ref()),
+                        request = id_text(self.request_info.id.as_ref()),
                         fingerprint = fingerprint::shown(self.fingerprint),
                         replica = target.replica,
                         verdict = failed.verdict.as_str(),
@@ -239,15 +244,17 @@
                     );
                     self.attempts.note(&target.replica, failed.verdict);
                     last = match (failed.verdict, failed.sent) {
-                        (Verdict::NotRun, true) => Refusal::later(
+                        (Verdict::NotRun, true) => Refusal::retryable(
                             "the replicas are full",
                             REPLICAS_FULL_RETRY_AFTER_MS,
                         ),
-                        (Verdict::NotRun, false) => Refusal::later(
+                        (Verdict::NotRun, false) => Refusal::retryable(
                             "no replica can be reached",
                             NO_REPLICA_RETRY_AFTER_MS,
                         ),
-                        _ => Refusal::doubtful("the replica did not answer"),
+                        _ => {
+                            Refusal::may_have_run("the replica did not answer")
+                        }
                     };
                     if self.attempts.ran > 0 {
                         last.verdict = Verdict::MayHaveRun;
@@ -255,10 +262,10 @@
                     if self.attempts.ran > 0
                         && failed.verdict == Verdict::NotRun
                     {
-                        last = Refusal::doubtful("no replica answered");
+                        last = Refusal::may_have_run("no replica answered");
                     }
                     if Instant::now() >= self.deadline {
-                        last = Refusal::late(last.verdict);
+                        last = Refusal::timed_out(last.verdict);
                     }
                 }
             }
@@ -289,13 +296,13 @@
             return false;
         }
         let quarantined =
-            self.gateway.kept_away(self.fingerprint, &self.service);
+            self.gateway.quarantine_reason(self.fingerprint, &self.service);
         if quarantined.is_some() {
             return false;
         }
         let entries = self.gateway.entries();
         let now = self.now();
-        self.gateway.fleet().repeat(now, &self.service, entries)
+        self.gateway.fleet().try_retry(now, &self.service, entries)
     }
 
     /// Returns the router's choice among the replicas that have not been
@@ -325,7 +332,13 @@
     fn release(&self, target: &Target) {
         let now = self.now();
         let mut fleet = self.gateway.fleet();
-        fleet.end(now, &self.service, target.ticket, false, End::Unsent);
+        fleet.record_end(
+            now,
+            &self.service,
+            target.ticket,
+            false,
+            Outcome::NotSent,
+        );
     }
 
     /// Returns the team's priority, or the route's if the team has none.
@@ -346,7 +359,7 @@
             .take(&target.replica, target.address, self.deadline)
             .await;
         let mut connection =
-            taken.inspect_err(|_| flight.end = End::Failed)?;
+            taken.inspect_err(|_| flight.end = Outcome::Failed)?;
         let request = self.request(target, last_event)?;
         let max_silence = self.max_silence(target);
         let sent =
@@ -355,8 +368,8 @@
             let due = Instant::now() < self.deadline;
             if due || failed.verdict != Verdict::MayHaveRun {
                 flight.end = match failed.fault {
-                    Fault::Broken => End::Broken,
-                    _ => End::Failed,
+                    Fault::Broken => Outcome::Disconnected,
+                    _ => Outcome::Failed,
                 };
             }
         })?;
@@ -365,7 +378,7 @@
             response.status(),
             response.headers(),
         );
-        self.gateway.note_limit(
+        self.gateway.record_rate_limit(
             &target.replica,
             flight.began_at(),
             &answer_info,
@@ -398,18 +411,18 @@
             Err(Error { verdict, sent: true, fault: Fault::Other, text })
         };
         if !answer_info.matches {
-            flight.end = End::Failed;
+            flight.end = Outcome::Failed;
             return failed(
                 Verdict::MayHaveRun,
                 "the answer belongs to another request",
             );
         }
         if answer_info.wrong_replica {
-            flight.end = End::Failed;
+            flight.end = Outcome::Failed;
             return failed(Verdict::NotRun, "another replica has the address");
         }
         if answer_info.not_run {
-            flight.end = End::Failed;
+            flight.end = Outcome::Failed;
             return failed(Verdict::NotRun, "the replica rejected it");
         }
         Ok(())
@@ -444,7 +457,7 @@
                 }
                 Ok(None) => break,
                 Ok(Some(Err(error))) => {
-                    flight.end = End::Broken;
+                    flight.end = Outcome::Disconnected;
                     return Err(Error {
                         verdict: Verdict::Ran,
                         sent: true,
@@ -534,7 +547,7 @@
             && let Some(quota) = team.quota
         {
             let cost = cost_of(&self.request_info, quota.default_tokens);
-            self.gateway.give_back(&team.name, cost);
+            self.gateway.refund_quota(&team.name, cost);
         }
     }
 
@@ -565,7 +578,7 @@
         let chosen = self.chosen.as_ref();
         info!(
             target: "gateway",
-            request = shown(self.request_info.id.as_ref()),
+            request = id_text(self.request_info.id.as_ref()),
             fingerprint = fingerprint::shown(self.fingerprint),
             team = self.team.as_ref().map_or("", |team| &team.name),
             route = self.route.name,
@@ -581,7 +594,7 @@
             cached = chosen.map_or(0, |target| target.cached_tokens),
             fetches = chosen.is_some_and(|target| target.fetch_from.is_some()),
             takes_per_s = chosen.map_or(0.0, |target| {
-                self.gateway.named_rate(&target.replica)
+                self.gateway.announced_rate(&target.replica)
             }),
             ran = self.attempts.ran,
             turned_away = self.attempts.not_run,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -59,7 +59,7 @@
 use self::{
     bodies::Budget,
     dialect::Dialect,
-    ending::Endings,
+    ending::CrashDetector,
     fleet::Fleet,
     plan::{Plan, Route, Team},
     quotas::Quotas,
@@ -124,7 +124,7 @@
     pub(crate) connections: Pool,
     pub(crate) metrics: Metrics,
     bodies: Budget,
-    endings: Endings,
+    crash_detector: CrashDetector,
     quarantine: Mutex<Quarantine>,
     rate_limits: Mutex<RateLimits>,
     /// Notified when this node learns of a request with several crashes.
@@ -171,7 +171,7 @@
             connections: Pool::default(),
             metrics: Metrics::open(),
             bodies: Budget::open(options.body_memory),
-            endings: Endings::default(),
+            crash_detector: CrashDetector::default(),
             quarantine: Mutex::default(),
             rate_limits: Mutex::default(),
             suspects_changed: Notify::new(),
@@ -230,12 +230,12 @@
         let now = self.timer.now();
         self.fleet_refreshed_at.store(now, Ordering::Relaxed);
         let plan = self.plan.read();
-        self.expire_suspects();
+        self.expire_quarantine();
         let mut fleet = self.fleet();
         let table = mesh.table();
         fleet.refresh(now, &table, plan.as_ref().as_ref());
-        self.share_limits_by(&table, &mut fleet);
-        self.connections.retain(|replica| fleet.has(replica));
+        self.update_rate_limit_shares_in(&table, &mut fleet);
+        self.connections.retain(|replica| fleet.has_replica(replica));
         self.refresh_quotas(now, &table, plan.as_ref().as_ref());
         drop(table);
         self.changed.send_replace(());
@@ -291,12 +291,12 @@
     /// Returns the report on this node's requests for the other nodes.
     pub fn local_report(&self) -> Own {
         let spent = self.spent();
-        let suspects = self.suspects();
-        let limits = self.tell_limits();
+        let suspects = self.crash_reports();
+        let limits = self.next_rate_limit_reports();
         let mut fleet = self.fleet();
-        let cached = fleet.take_cached(self.timer.now());
+        let cached = fleet.next_cached_reports(self.timer.now());
         Own {
-            under: fleet.under(),
+            under: fleet.in_flight(),
             spent,
             work: fleet.work(),
             cached,
@@ -310,7 +310,7 @@
 
     /// Records the prompt parts that other nodes have sent to replicas.
     pub fn record_cached_reports(&self, cached: &[Cached]) {
-        self.fleet().note_cached(self.timer.now(), cached);
+        self.fleet().record_cached_reports(self.timer.now(), cached);
     }
 
     /// Returns the prompt parts that replicas were sent recently, by this node
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -176,7 +176,7 @@
     });
     // Whoever founds the whole system is first: nothing has been used.
     if !options.founds {
-        gateway.join_quotas();
+        gateway.start_joining_quotas();
     }
     let port = options.peers.port();
     let seeds: Vec<SocketAddr> =
@@ -498,15 +498,15 @@
         successes: &[Success],
         passes_on: bool,
     ) {
-        self.gateway.hear_suspects(crashes, successes, passes_on);
+        self.gateway.receive_crash_reports(crashes, successes, passes_on);
     }
 
     fn suspected(&self, crashes: &[Crash], passes_on: bool) {
-        self.gateway.hear_suspected(crashes, passes_on);
+        self.gateway.receive_suspected_crashes(crashes, passes_on);
     }
 
     fn limits(&self, limits: &[RateLimit]) {
-        self.gateway.hear_limits(limits);
+        self.gateway.receive_rate_limits(limits);
     }
 
     fn news(self: Arc<Self>, news: News) {
@@ -520,7 +520,7 @@
         self.follow_mesh();
         if news.steps_in {
             // It was told little while it stood by.
-            self.gateway.settle_quotas();
+            self.gateway.settle_quota_use();
             tokio::spawn(recall::learn(self, None));
         }
     }
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -74,8 +74,8 @@
         let replicas =
             mesh.map_or(Vec::new(), |mesh| mesh.table().usable(now));
         let whole = self.node.knows_caches.load(Ordering::Relaxed);
-        let crashes = self.node.gateway.several_crashes();
-        let limits = self.node.gateway.limits();
+        let crashes = self.node.gateway.repeated_crashes();
+        let limits = self.node.gateway.rate_limit_reports();
         Ok(Response::new(Sightings { whole, replicas, crashes, limits }))
     }
 
@@ -83,7 +83,7 @@
         &self,
         _: Request<Empty>,
     ) -> Result<Response<Levels>, Status> {
-        Ok(Response::new(self.node.gateway.levels()))
+        Ok(Response::new(self.node.gateway.quota_levels()))
     }
 
     async fn recall(
--- a/src/node/recall.rs
+++ b/src/node/recall.rs
@@ -105,7 +105,7 @@
     });
     take(node, &memory.caches.unwrap_or_default(), "the disk");
     if let Some(levels) = levels {
-        node.gateway.learn_levels(levels, "the disk");
+        node.gateway.receive_quota_levels(levels, "the disk");
     }
 }
 
@@ -120,7 +120,7 @@
         .iter()
         .map(|one| Crash { age_ms: one.age_ms.saturating_add(old_ms), ..*one })
         .collect();
-    node.gateway.hear_suspects(&crashes, &[], false);
+    node.gateway.receive_crash_reports(&crashes, &[], false);
 }
 
 /// Asks others for the plan, the replicas and what is left of quotas until all
@@ -157,7 +157,7 @@
     let answer = timeout(FIRST_LIMIT, ask_levels(node, from)).await;
     match answered(answer, "quotas", from) {
         Some(known) if !known.levels.is_empty() => {
-            node.gateway.learn_levels(known, &from.to_string());
+            node.gateway.receive_quota_levels(known, &from.to_string());
             true
         }
         _ => false,
@@ -168,8 +168,8 @@
 async fn learn_replicas(node: &Node, from: Ipv4Addr) -> bool {
     let answer = timeout(FIRST_LIMIT, ask_replicas(node, from)).await;
     let Some(known) = answered(answer, "replicas", from) else { return false };
-    node.gateway.hear_suspects(&known.crashes, &[], false);
-    node.gateway.hear_limits(&known.limits);
+    node.gateway.receive_crash_reports(&known.crashes, &[], false);
+    node.gateway.receive_rate_limits(&known.limits);
     take_replicas(node, known.replicas, &from.to_string(), |says| says);
     known.whole
 }
@@ -279,8 +279,8 @@
         caches: Some(Caches { whole: true, cached: node.gateway.cached() }),
         replicas: mesh.map_or(Vec::new(), |mesh| mesh.table().usable(now)),
         wall_ms: wall_ms(),
-        crashes: node.gateway.several_crashes(),
-        levels: Some(node.gateway.levels()),
+        crashes: node.gateway.repeated_crashes(),
+        levels: Some(node.gateway.quota_levels()),
     }
 }
 
