--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -13,7 +13,7 @@
 use azuremount::decide::{
     admit::{Arrival, Gate, Room},
     prefix::blocks,
-    route::{Ask, Identity, Policy, Pool, Standing, Weights},
+    route::{Availability, Identity, Policy, Pool, RouteRequest, Weights},
 };
 
 /// Runs `act` repeatedly for about 0.7 s and returns the time of one run, in
@@ -39,7 +39,7 @@
             slots: 8,
             reclaimable: number % 2 == 0,
             price: 100,
-            standing: Standing::Serving,
+            availability: Availability::Serving,
         })
         .collect()
 }
@@ -88,9 +88,14 @@
         pool.set_peers(10);
         let route_ns = time(|number| {
             let blocks = &prompts[number as usize % prompts.len()];
-            let ask = Ask { tokens: 3600, blocks, ends: &[], avoid: &[] };
+            let request = RouteRequest {
+                tokens: 3600,
+                blocks,
+                block_ends: &[],
+                excluded: &[],
+            };
             let now = number / 100;
-            if let Some(choice) = pool.pick(now, &ask) {
+            if let Some(choice) = pool.pick(now, &request) {
                 pool.end(now, choice.ticket, true, Some(900.0));
             }
         });
@@ -116,9 +121,14 @@
         let name = format!("route, 3,600 tokens, {count} replicas");
         println!("{name:36} {route_ns:10.0} {naive_ns:10.0}");
         let short_ns = time(|number| {
-            let ask = Ask { tokens: 30, blocks: &[], ends: &[], avoid: &[] };
+            let request = RouteRequest {
+                tokens: 30,
+                blocks: &[],
+                block_ends: &[],
+                excluded: &[],
+            };
             let now = number / 100;
-            if let Some(choice) = pool.pick(now, &ask) {
+            if let Some(choice) = pool.pick(now, &request) {
                 pool.end(now, choice.ticket, true, Some(900.0));
             }
         });
--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -14,7 +14,7 @@
 };
 
 use azuremount::{
-    decide::{retry::Bound, route::Ask},
+    decide::{retry::Bound, route::RouteRequest},
     gateway::fleet::Fleet,
     mesh::table::{Own, Table, replica_hash},
     wire::{Beat, Cached, Gossip, Peer, Sighting},
@@ -109,9 +109,13 @@
         });
         let blocks: Vec<u64> = (0..30).collect();
         let pick = time(|turn| {
-            let ask =
-                Ask { tokens: 15_000, blocks: &blocks, ends: &[], avoid: &[] };
-            black_box(fleet.pick(20 + turn, "llm", &ask));
+            let request = RouteRequest {
+                tokens: 15_000,
+                blocks: &blocks,
+                block_ends: &[],
+                excluded: &[],
+            };
+            black_box(fleet.pick(20 + turn, "llm", &request));
         });
         let round = time(|turn| {
             black_box(table.compose(20, turn as i64, Own::default()));
--- a/src/decide/route/baseline.rs
+++ b/src/decide/route/baseline.rs
@@ -2,18 +2,18 @@
 
 use rand::RngExt;
 
-use super::{Ask, Pool, Replica, is_avoided};
+use super::{Pool, Replica, RouteRequest, is_excluded};
 
 impl Pool {
     pub(super) fn draw_where(
         &mut self,
-        ask: &Ask<'_>,
+        request: &RouteRequest<'_>,
         is_eligible: impl Fn(usize, &Replica) -> bool,
     ) -> Option<usize> {
         let candidates: Vec<usize> = (0..self.replicas.len())
             .filter(|&at| {
                 let replica = &self.replicas[at];
-                !is_avoided(replica, ask) && is_eligible(at, replica)
+                !is_excluded(replica, request) && is_eligible(at, replica)
             })
             .collect();
         if candidates.is_empty() {
@@ -24,11 +24,11 @@
 
     pub(super) fn pick_next_in_turn(
         &mut self,
-        ask: &Ask<'_>,
+        request: &RouteRequest<'_>,
     ) -> Option<usize> {
         for _ in 0..self.replicas.len() {
             self.last_in_turn = (self.last_in_turn + 1) % self.replicas.len();
-            if !is_avoided(&self.replicas[self.last_in_turn], ask) {
+            if !is_excluded(&self.replicas[self.last_in_turn], request) {
                 return Some(self.last_in_turn);
             }
         }
@@ -37,24 +37,24 @@
 
     pub(super) fn pick_least_outstanding(
         &mut self,
-        ask: &Ask<'_>,
+        request: &RouteRequest<'_>,
     ) -> Option<usize> {
         let least = self
             .replicas
             .iter()
-            .filter(|replica| !is_avoided(replica, ask))
+            .filter(|replica| !is_excluded(replica, request))
             .map(|replica| replica.own_in_flight)
             .min()?;
-        self.draw_where(ask, |_, replica| replica.own_in_flight == least)
+        self.draw_where(request, |_, replica| replica.own_in_flight == least)
     }
 
     pub(super) fn pick_less_loaded_of_two(
         &mut self,
-        ask: &Ask<'_>,
+        request: &RouteRequest<'_>,
     ) -> Option<usize> {
-        let first = self.draw_where(ask, |_, _| true)?;
+        let first = self.draw_where(request, |_, _| true)?;
         let second =
-            self.draw_where(ask, |at, _| at != first).unwrap_or(first);
+            self.draw_where(request, |at, _| at != first).unwrap_or(first);
         let load = |at: usize| {
             let replica = &self.replicas[at];
             (replica.reported_load + replica.own_change)
--- a/src/decide/route/cost.rs
+++ b/src/decide/route/cost.rs
@@ -2,7 +2,7 @@
 
 use rand::RngExt;
 
-use super::{Ask, MIN_FETCH_TOKENS, Pool, Replica, is_avoided};
+use super::{MIN_FETCH_TOKENS, Pool, Replica, RouteRequest, is_excluded};
 use crate::util::mix;
 
 /// Interval at which the load floor is recomputed, in ms.
@@ -25,19 +25,19 @@
     pub(super) fn pick_by_cost(
         &mut self,
         now: u64,
-        ask: &Ask<'_>,
+        request: &RouteRequest<'_>,
     ) -> Option<usize> {
         self.picks_since_update += 1;
         if now >= self.load_floor_at + LOAD_FLOOR_INTERVAL_MS {
             self.update_load_floor(now);
         }
-        self.match_prefix(ask);
+        self.match_prefix(request);
         // Each cost is computed once: with many replicas the scan takes nearly
         // all the time of a decision.
         let mut costs = std::mem::take(&mut self.costs);
         costs.clear();
         let all = self.replicas.iter();
-        costs.extend(all.map(|replica| self.cost(now, replica, ask)));
+        costs.extend(all.map(|replica| self.cost(now, replica, request)));
         let lowest = costs.iter().copied().fold(f32::INFINITY, f32::min);
         let chosen = match lowest.is_finite() {
             true => {
@@ -125,7 +125,7 @@
     }
 
     /// Sets how many tokens of the prompt each replica probably has cached.
-    pub(super) fn match_prefix(&mut self, ask: &Ask<'_>) {
+    pub(super) fn match_prefix(&mut self, request: &RouteRequest<'_>) {
         for at in self.matched_replicas.drain(..) {
             self.replicas[at].matched_tokens = 0;
         }
@@ -134,17 +134,17 @@
         let Pool {
             index, replicas, positions, matched_replicas, holders, ..
         } = self;
-        index.holders(ask.blocks, MAX_HOLDERS, |number, count| {
+        index.holders(request.blocks, MAX_HOLDERS, |number, count| {
             if let Some(&Some(at)) = positions.get(number as usize) {
                 let uniform = count * block;
-                let end = ask.ends.get(count as usize - 1);
+                let end = request.block_ends.get(count as usize - 1);
                 let tokens = end.copied().unwrap_or(uniform);
                 replicas[at].matched_tokens = tokens;
                 matched_replicas.push(at);
                 holders.push((at, tokens));
             }
         });
-        self.match_home_replica(ask);
+        self.match_home_replica(request);
     }
 
     ///
@@ -155,9 +155,9 @@
     /// All entries select the same home replica without communicating. The
     /// first requests that share a long prefix, arriving at many entries at
     /// once, so reach one replica long before its cache events propagate.
-    pub(super) fn match_home_replica(&mut self, ask: &Ask<'_>) {
-        let Some(&key) = ask.blocks.get(HOME_BLOCK_INDEX) else { return };
-        let half = ask.tokens / 2;
+    pub(super) fn match_home_replica(&mut self, request: &RouteRequest<'_>) {
+        let Some(&key) = request.blocks.get(HOME_BLOCK_INDEX) else { return };
+        let half = request.tokens / 2;
         let mut matched = self.matched_replicas.iter();
         if matched.any(|&at| self.replicas[at].matched_tokens >= half) {
             return;
@@ -169,13 +169,13 @@
             .filter(|(_, replica)| {
                 // A rate-limited replica as the home would keep other entries
                 // away from the prompt that it holds.
-                !is_avoided(replica, ask)
+                !is_excluded(replica, request)
                     && replica.is_serving()
                     && replica.bucket.is_none()
             })
             .max_by_key(|(_, replica)| mix(key ^ replica.id_hash));
         if let Some((at, home)) = home {
-            let assumed = ask.tokens as f32 * self.weights.home;
+            let assumed = request.tokens as f32 * self.weights.home;
             home.matched_tokens = home.matched_tokens.max(assumed as u32);
             self.matched_replicas.push(at);
         }
@@ -185,9 +185,9 @@
         &self,
         now: u64,
         replica: &Replica,
-        ask: &Ask<'_>,
+        request: &RouteRequest<'_>,
     ) -> f32 {
-        if is_avoided(replica, ask)
+        if is_excluded(replica, request)
             || !replica.is_serving()
             || !replica.is_within_rate_limit(now)
         {
@@ -204,8 +204,8 @@
         let excess = (load + 1.5 - slots).max(0.0) as u32 as f32;
         let queue = excess / slots * self.weights.hold_ms;
         let batch = load.min(slots) * weights.batch_ms;
-        let uncached = ask.tokens.saturating_sub(replica.matched_tokens);
-        let fetched = self.fetchable_tokens(replica, ask);
+        let uncached = request.tokens.saturating_sub(replica.matched_tokens);
+        let fetched = self.fetchable_tokens(replica, request);
         let fetch =
             fetched as f32 * weights.fetch_ms.unwrap_or(weights.token_ms);
         let uncached = (uncached - fetched) as f32 * weights.recompute;
@@ -255,11 +255,11 @@
         &self,
         now: u64,
         replica: &Replica,
-        ask: &Ask<'_>,
+        request: &RouteRequest<'_>,
     ) -> f32 {
         let weights = &self.weights;
-        let uncached = ask.tokens.saturating_sub(replica.matched_tokens);
-        let fetched = self.fetchable_tokens(replica, ask);
+        let uncached = request.tokens.saturating_sub(replica.matched_tokens);
+        let fetched = self.fetchable_tokens(replica, request);
         let pending = replica.pending_tokens
             + self.expected_others_pending(now, replica);
         let compute =
@@ -273,7 +273,11 @@
 
     /// Returns how many tokens of the prompt a replica would fetch from
     /// another replica.
-    fn fetchable_tokens(&self, replica: &Replica, ask: &Ask<'_>) -> u32 {
+    fn fetchable_tokens(
+        &self,
+        replica: &Replica,
+        request: &RouteRequest<'_>,
+    ) -> u32 {
         if self.weights.fetch_ms.is_none() {
             return 0;
         }
@@ -282,7 +286,7 @@
         if missing < MIN_FETCH_TOKENS {
             return 0;
         }
-        missing.min(ask.tokens.saturating_sub(replica.matched_tokens))
+        missing.min(request.tokens.saturating_sub(replica.matched_tokens))
     }
 
     ///
--- a/src/decide/route/mod.rs
+++ b/src/decide/route/mod.rs
@@ -92,14 +92,14 @@
         /// Price in thousandths of a cent an hour.
         pub price: u64,
         /// Whether it takes requests.
-        pub standing: Standing,
+        pub availability: Availability,
     }
 }
 
 common! {
     copy
     /// Whether a replica takes requests.
-    pub enum Standing {
+    pub enum Availability {
         /// It takes requests.
         Serving,
         /// It finishes its requests and is sent no new ones. Until it has
@@ -114,7 +114,7 @@
 
 common! {
     /// The properties of a request that routing uses.
-    pub struct Ask<'a> {
+    pub struct RouteRequest<'a> {
         /// Tokens in the prompt.
         pub tokens: u32,
         /// Block hashes of the prompt.
@@ -122,9 +122,9 @@
         /// Cumulative tokens at the end of each block; empty if all blocks
         /// have the same size. The blocks of a prompt that comes in small
         /// parts are far from full.
-        pub ends: &'a [u32],
+        pub block_ends: &'a [u32],
         /// Endpoints that the request must not be sent to: id and incarnation.
-        pub avoid: &'a [(String, u64)],
+        pub excluded: &'a [(String, u64)],
     }
 }
 
@@ -348,13 +348,18 @@
     }
 
     /// Updates the properties that may change while the list of replicas stays
-    /// the same: standing, slots and whether the VM is reclaimable, in the
+    /// the same: availability, slots and whether the VM is reclaimable, in the
     /// order of the replicas' ids.
-    pub fn set_standings(&mut self, standings: &[(Standing, u32, bool)]) {
-        for (replica, standing) in self.replicas.iter_mut().zip(standings) {
+    pub fn set_availabilities(
+        &mut self,
+        availabilities: &[(Availability, u32, bool)],
+    ) {
+        for (replica, availability) in
+            self.replicas.iter_mut().zip(availabilities)
+        {
             let identity = &mut replica.identity;
-            (identity.standing, identity.slots, identity.reclaimable) =
-                *standing;
+            (identity.availability, identity.slots, identity.reclaimable) =
+                *availability;
         }
     }
 
@@ -474,15 +479,19 @@
     }
 
     /// Selects a replica and counts the request as in flight there.
-    pub fn pick(&mut self, now: u64, ask: &Ask<'_>) -> Option<Choice> {
+    pub fn pick(
+        &mut self,
+        now: u64,
+        request: &RouteRequest<'_>,
+    ) -> Option<Choice> {
         let at = match self.policy {
-            Policy::Cost => self.pick_by_cost(now, ask),
-            Policy::Random => self.draw_where(ask, |_, _| true),
-            Policy::RoundRobin => self.pick_next_in_turn(ask),
-            Policy::LeastOutstanding => self.pick_least_outstanding(ask),
-            Policy::PowerOfTwo => self.pick_less_loaded_of_two(ask),
+            Policy::Cost => self.pick_by_cost(now, request),
+            Policy::Random => self.draw_where(request, |_, _| true),
+            Policy::RoundRobin => self.pick_next_in_turn(request),
+            Policy::LeastOutstanding => self.pick_least_outstanding(request),
+            Policy::PowerOfTwo => self.pick_less_loaded_of_two(request),
         }?;
-        Some(self.assign(now, at, ask))
+        Some(self.assign(now, at, request))
     }
 
     /// Records a piece of the answer to a request.
@@ -597,32 +606,38 @@
         &mut self,
         now: u64,
         id: &str,
-        ask: &Ask<'_>,
+        request: &RouteRequest<'_>,
     ) -> Option<f32> {
-        self.match_prefix(ask);
+        self.match_prefix(request);
         self.replicas
             .iter()
             .find(|replica| replica.identity.id == id)
-            .map(|replica| self.cost(now, replica, ask))
+            .map(|replica| self.cost(now, replica, request))
     }
 
     // ---- Bookkeeping ------------------------------------------------------------
 
-    fn assign(&mut self, now: u64, at: usize, ask: &Ask<'_>) -> Choice {
+    fn assign(
+        &mut self,
+        now: u64,
+        at: usize,
+        request: &RouteRequest<'_>,
+    ) -> Choice {
         if self.policy != Policy::Cost {
-            self.match_prefix(ask);
+            self.match_prefix(request);
         }
-        let predicted_ms = self.first_token_ms(now, &self.replicas[at], ask);
-        let cached = self.replicas[at].matched_tokens.min(ask.tokens);
+        let predicted_ms =
+            self.first_token_ms(now, &self.replicas[at], request);
+        let cached = self.replicas[at].matched_tokens.min(request.tokens);
         let serial = self.next_serial;
         self.next_serial += 1;
         let source = self.fetch_source(at, cached);
         let fetched = source.map_or(0, |from| {
-            self.replicas[from].matched_tokens.min(ask.tokens) - cached
+            self.replicas[from].matched_tokens.min(request.tokens) - cached
         });
         let fetch_from =
             source.map(|from| self.replicas[from].identity.id.clone());
-        let tokens = ask.tokens - cached - fetched;
+        let tokens = request.tokens - cached - fetched;
         self.work_ms += f64::from(tokens as f32 * self.unloaded_token_ms);
         let replica = &mut self.replicas[at];
         replica.own_in_flight += 1;
@@ -641,7 +656,7 @@
             predicted_ms,
             ticket: Ticket { number, serial, tokens, begun_at: now },
         };
-        self.index.insert(number, ask.blocks);
+        self.index.insert(number, request.blocks);
         choice
     }
 
@@ -658,7 +673,7 @@
     /// be fetched from, with the tokens that it holds.
     pub(super) fn best_holder(&self) -> Option<(usize, u32)> {
         let sources = self.holders.iter().copied().filter(|(at, _)| {
-            self.replicas[*at].identity.standing != Standing::Silent
+            self.replicas[*at].identity.availability != Availability::Silent
         });
         sources.max_by_key(|(_, count)| *count)
     }
@@ -688,9 +703,9 @@
     }
 }
 
-fn is_avoided(replica: &Replica, ask: &Ask<'_>) -> bool {
+fn is_excluded(replica: &Replica, request: &RouteRequest<'_>) -> bool {
     let identity = &replica.identity;
-    ask.avoid.iter().any(|(id, incarnation)| {
+    request.excluded.iter().any(|(id, incarnation)| {
         *id == identity.id && *incarnation == identity.incarnation
     })
 }
--- a/src/decide/route/replica.rs
+++ b/src/decide/route/replica.rs
@@ -1,6 +1,6 @@
 //! One replica, as one entry's pool sees it.
 
-use super::{Identity, Standing};
+use super::{Availability, Identity};
 use crate::{decide::rate_limit::Bucket, util::name_hash};
 
 /// Time for which a replica that failed a request costs more, in ms. It
@@ -99,7 +99,7 @@
     }
 
     pub fn is_serving(&self) -> bool {
-        self.identity.standing == Standing::Serving
+        self.identity.availability == Availability::Serving
     }
 
     /// Returns false while this entry's share of the replica's rate limit is
--- a/src/entry/fleet.rs
+++ b/src/entry/fleet.rs
@@ -4,7 +4,9 @@
 
 use crate::{
     config::{Config, Kind},
-    decide::route::{Ask, Choice, Identity, Policy, Pool, Standing, Weights},
+    decide::route::{
+        Availability, Choice, Identity, Policy, Pool, RouteRequest, Weights,
+    },
     util::{position, random_id},
     wire::{Endpoint, Load},
 };
@@ -128,7 +130,7 @@
                     price: config
                         .class(&endpoint.class)
                         .map_or(0, |class| class.price),
-                    standing: Standing::Serving,
+                    availability: Availability::Serving,
                 })
                 .collect();
             let near = self.near.clone();
@@ -150,9 +152,9 @@
         &mut self,
         now: u64,
         service: &str,
-        ask: &Ask<'_>,
+        request: &RouteRequest<'_>,
     ) -> Option<(Endpoint, Choice)> {
-        let choice = self.pool(service)?.pick(now, ask)?;
+        let choice = self.pool(service)?.pick(now, request)?;
         let endpoint = self.endpoint(&choice.id)?.clone();
         Some((endpoint, choice))
     }
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -33,7 +33,7 @@
     decide::{
         moving::{self, Stream},
         prefix,
-        route::{Ask, Choice},
+        route::{Choice, RouteRequest},
     },
     fingerprint,
     metrics::Labels,
@@ -311,11 +311,11 @@
     }
 
     fn pick(&self) -> Option<(Endpoint, Choice)> {
-        let ask = Ask {
+        let ask = RouteRequest {
             tokens: self.chat.prompt_tokens(),
-            ends: &[],
+            block_ends: &[],
             blocks: &self.blocks,
-            avoid: &self.avoid,
+            excluded: &self.avoid,
         };
         let now = self.state.now();
         self.state.fleet().pick(now, &self.record.service, &ask)
--- a/src/entry/plain.rs
+++ b/src/entry/plain.rs
@@ -37,7 +37,7 @@
 };
 use crate::{
     config::Service,
-    decide::route::{Ask, Choice},
+    decide::route::{Choice, RouteRequest},
     fingerprint,
     http_server::{Request, Response},
     metrics::Labels,
@@ -447,7 +447,12 @@
     work: &Work,
     avoid: &[(String, u64)],
 ) -> Option<(Endpoint, Choice)> {
-    let ask = Ask { tokens: 0, blocks: &[], ends: &[], avoid };
+    let ask = RouteRequest {
+        tokens: 0,
+        blocks: &[],
+        block_ends: &[],
+        excluded: avoid,
+    };
     state.fleet().pick(state.now(), &work.service.name, &ask)
 }
 
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -18,7 +18,8 @@
         rate_limit::Part,
         retry::{Bound, Window},
         route::{
-            Ask, Choice, Identity, Policy, Pool, Standing, Ticket, Weights,
+            Availability, Choice, Identity, Policy, Pool, RouteRequest,
+            Ticket, Weights,
         },
     },
     mesh::{
@@ -227,10 +228,10 @@
         &mut self,
         now: u64,
         service: &str,
-        ask: &Ask<'_>,
+        request: &RouteRequest<'_>,
     ) -> Option<Target> {
         let routed = self.find(service)?;
-        let choice: Choice = routed.pool.pick(now, ask)?;
+        let choice: Choice = routed.pool.pick(now, request)?;
         let address = routed.address(&choice.id)?;
         let fetch_from = choice.fetch_from.and_then(|id| routed.address(&id));
         Some(Target {
@@ -520,29 +521,29 @@
         // than every replica down.
         let mut fresh = replicas.clone().filter(is_fresh);
         let none_fresh = fresh.all(|replica| replica.state != State::Ready);
-        let standing = |replica: &table::Replica| {
-            standing(replica, none_fresh || is_fresh(&replica))
+        let availability = |replica: &table::Replica| {
+            availability(replica, none_fresh || is_fresh(&replica))
         };
         // The list of replicas seldom changes. Comparing the numeric keys
         // avoids handling a thousand ids.
         let places = self.places.iter().map(|place| place.key);
         let is_same = places.eq(replicas.clone().map(key));
         if is_same {
-            let standings: Vec<(Standing, u32, bool)> = replicas
+            let availabilities: Vec<(Availability, u32, bool)> = replicas
                 .clone()
                 .map(|replica| {
                     (
-                        standing(replica),
+                        availability(replica),
                         replica.says.slots,
                         replica.says.reclaimable,
                     )
                 })
                 .collect();
-            self.pool.set_standings(&standings);
+            self.pool.set_availabilities(&availabilities);
         } else {
             let identities: Vec<Identity> = replicas
                 .clone()
-                .map(|replica| identity(replica, standing(replica)))
+                .map(|replica| identity(replica, availability(replica)))
                 .collect();
             self.pool.set_replicas(near, &identities);
             self.set_places(replicas.clone(), memory);
@@ -599,15 +600,15 @@
     (replica.hash(), replica.says.ip, replica.says.port)
 }
 
-fn standing(replica: &table::Replica, is_heard: bool) -> Standing {
+fn availability(replica: &table::Replica, is_heard: bool) -> Availability {
     match replica.state {
-        State::Ready if is_heard => Standing::Serving,
-        State::Ready => Standing::Silent,
-        State::Leaving | State::Gone => Standing::Leaving,
+        State::Ready if is_heard => Availability::Serving,
+        State::Ready => Availability::Silent,
+        State::Leaving | State::Gone => Availability::Leaving,
     }
 }
 
-fn identity(replica: &table::Replica, standing: Standing) -> Identity {
+fn identity(replica: &table::Replica, availability: Availability) -> Identity {
     let says = &replica.says;
     Identity {
         id: says.id.clone(),
@@ -616,7 +617,7 @@
         slots: says.slots,
         reclaimable: says.reclaimable,
         price: 0,
-        standing,
+        availability,
     }
 }
 
--- a/src/gateway/forward.rs
+++ b/src/gateway/forward.rs
@@ -36,7 +36,7 @@
     upstream::{Connection, Error, Fault},
 };
 use crate::{
-    decide::route::Ask,
+    decide::route::RouteRequest,
     fingerprint,
     metrics::{Labels, Running},
     verdict::Verdict,
@@ -310,11 +310,11 @@
     pub fn pick(&self) -> Option<Target> {
         let blocks = prompt_blocks(&self.request_info.parts);
         let tokens = self.request_info.tokens.map_or(0, |(prompt, _)| prompt);
-        let ask = Ask {
+        let ask = RouteRequest {
             tokens: tokens as u32,
             blocks: &blocks,
-            ends: &block_ends(&self.request_info.parts),
-            avoid: &self.attempts.avoid,
+            block_ends: &block_ends(&self.request_info.parts),
+            excluded: &self.attempts.avoid,
         };
         let now = self.now();
         let target = self.gateway.fleet().pick(now, &self.service, &ask)?;
--- a/tests/all/decide.rs
+++ b/tests/all/decide.rs
@@ -8,7 +8,7 @@
     moving::{Stream, should_move},
     prefix::{BLOCK_TOKENS, Index, blocks},
     retry::Budget,
-    route::{Ask, Identity, Policy, Pool, Standing, Weights},
+    route::{Availability, Identity, Policy, Pool, RouteRequest, Weights},
 };
 use azuremount::gateway::parts::{block_ends, prompt_blocks};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
@@ -22,7 +22,7 @@
             slots: 4,
             reclaimable: number % 3 == 0,
             price: 0,
-            standing: Standing::Serving,
+            availability: Availability::Serving,
         })
         .collect()
 }
@@ -34,9 +34,12 @@
     pool
 }
 
-fn ask<'a>(blocks: &'a [u64], avoid: &'a [(String, u64)]) -> Ask<'a> {
+fn request<'a>(
+    blocks: &'a [u64],
+    excluded: &'a [(String, u64)],
+) -> RouteRequest<'a> {
     let tokens = blocks.len() as u32 * BLOCK_TOKENS + 20;
-    Ask { tokens, blocks, ends: &[], avoid }
+    RouteRequest { tokens, blocks, block_ends: &[], excluded }
 }
 
 /// The scan with its reused buffers must select a replica whose cost is within
@@ -60,18 +63,19 @@
             match rng.random_range(0..10) {
                 0..6 => {
                     let number = rng.random_range(0..6_u64);
-                    let avoid = [(format!("gpu-{number:02}"), 1)];
+                    let excluded = [(format!("gpu-{number:02}"), 1)];
                     let prompt = &prompts[rng.random_range(0..6)];
-                    let ask = ask(prompt, &avoid);
+                    let request = request(prompt, &excluded);
                     // The costs are read first, because a pick changes them.
                     // This pick recomputes the load floor if that is due, so
                     // that the next pick does not.
-                    let first = pool.pick(now, &ask).expect("a replica");
+                    let first = pool.pick(now, &request).expect("a replica");
                     pool.end(now, first.ticket, true, Some(100.0));
                     let costs: Vec<(String, f32)> = identities(8)
                         .into_iter()
                         .map(|identity| {
-                            let cost = pool.cost_of(now, &identity.id, &ask);
+                            let cost =
+                                pool.cost_of(now, &identity.id, &request);
                             (identity.id, cost.expect("a cost"))
                         })
                         .collect();
@@ -79,8 +83,8 @@
                         .iter()
                         .map(|(_, cost)| *cost)
                         .fold(f32::INFINITY, f32::min);
-                    let choice = pool.pick(now, &ask).expect("a replica");
-                    assert_ne!(choice.id, avoid[0].0, "seed {seed}");
+                    let choice = pool.pick(now, &request).expect("a replica");
+                    assert_ne!(choice.id, excluded[0].0, "seed {seed}");
                     let (_, cost) = costs
                         .iter()
                         .find(|(id, _)| *id == choice.id)
@@ -170,7 +174,8 @@
             false
         });
         if rng.random_range(0..100) < 3 {
-            let choice = pool.pick(now, &ask(&[], &[])).expect("a replica");
+            let choice =
+                pool.pick(now, &request(&[], &[])).expect("a replica");
             if now > 3000 {
                 picks += 1;
                 picks_of_silent += u32::from(choice.id == "gpu-02");
@@ -191,7 +196,7 @@
     pool.report(1100, "gpu-00", 1, 9, 1000);
     pool.report(1100, "gpu-01", 1, 0, 1000);
     for _ in 0..3 {
-        let choice = pool.pick(1200, &ask(&[], &[])).expect("a replica");
+        let choice = pool.pick(1200, &request(&[], &[])).expect("a replica");
         assert_eq!(choice.id, "gpu-00");
     }
 }
@@ -211,7 +216,7 @@
         for now in 0..1000 {
             if now % 40 == 0 {
                 let choice =
-                    pool.pick(now, &ask(&[], &[])).expect("a replica");
+                    pool.pick(now, &request(&[], &[])).expect("a replica");
                 pool.end(now, choice.ticket, true, Some(300.0));
             }
         }
@@ -220,7 +225,7 @@
             let id = format!("gpu-{number:02}");
             pool.report(1000, &id, 1, load, 1000);
         }
-        let choice = pool.pick(1100, &ask(&[], &[])).expect("a replica");
+        let choice = pool.pick(1100, &request(&[], &[])).expect("a replica");
         *counts.entry(choice.id).or_insert(0) += 1;
     }
     assert!(counts.len() >= 4, "{counts:?}");
@@ -237,8 +242,8 @@
             let weights = Weights::default();
             let mut pool = Pool::open(Policy::Cost, weights, entry);
             pool.set_replicas("a", &identities(8));
-            let ask = ask(&prompt, &[]);
-            pool.pick(0, &ask).expect("a replica").id
+            let request = request(&prompt, &[]);
+            pool.pick(0, &request).expect("a replica").id
         })
         .collect();
     assert_eq!(home_replicas.len(), 1, "{home_replicas:?}");
@@ -363,16 +368,16 @@
 fn a_briefly_silent_replica_keeps_its_cached_blocks() {
     let mut pool = pool(4, 0);
     let prompt = blocks("a long packet ".repeat(300).as_bytes());
-    let first = pool.pick(0, &ask(&prompt, &[])).unwrap();
+    let first = pool.pick(0, &request(&prompt, &[])).unwrap();
     pool.end(100, first.ticket, true, Some(100.0));
     let mut silenced = identities(4);
     for identity in &mut silenced {
         if identity.id == first.id {
-            identity.standing = Standing::Silent;
+            identity.availability = Availability::Silent;
         }
     }
     pool.set_replicas("a", &silenced);
-    let other = pool.pick(200, &ask(&prompt, &[])).unwrap();
+    let other = pool.pick(200, &request(&prompt, &[])).unwrap();
     assert_ne!(other.id, first.id, "request sent to a silent replica");
     assert_eq!(other.fetch_from, None, "fetch from a silent replica");
     pool.abandon(other.ticket, 200, false);
@@ -380,7 +385,7 @@
     let costs =
         identities(4).into_iter().filter(|identity| identity.id != other.id);
     let cheapest = costs.min_by_key(|identity| {
-        pool.cost_of(300, &identity.id, &ask(&prompt, &[])).unwrap() as u32
+        pool.cost_of(300, &identity.id, &request(&prompt, &[])).unwrap() as u32
     });
     assert_eq!(cheapest.unwrap().id, first.id);
 }
@@ -404,12 +409,17 @@
     };
     let mut pool = Pool::open(Policy::Cost, weights, 1);
     pool.set_replicas("a", &identities(2));
-    let ask =
-        Ask { tokens: 1460, blocks: &blocks[..2], ends: &ends, avoid: &[] };
-    let first = pool.pick(0, &ask).unwrap();
-    let avoid = [(first.id.clone(), 1)];
-    let ask = Ask { blocks: &blocks, avoid: &avoid, ..ask };
-    let second = pool.pick(1, &ask).unwrap();
+    let request = RouteRequest {
+        tokens: 1460,
+        blocks: &blocks[..2],
+        block_ends: &ends,
+        excluded: &[],
+    };
+    let first = pool.pick(0, &request).unwrap();
+    let excluded = [(first.id.clone(), 1)];
+    let request =
+        RouteRequest { blocks: &blocks, excluded: &excluded, ..request };
+    let second = pool.pick(1, &request).unwrap();
     assert_eq!(second.fetch_from, None);
     assert!((second.predicted_ms - 1460.0 * 0.02).abs() < 1.0, "{second:?}");
 }
@@ -543,8 +553,13 @@
         }
         let entry = rng.random_range(0..Entries::COUNT);
         let tokens = [200, 2000, 8000][rng.random_range(0..3)];
-        let ask = Ask { tokens, blocks: &[], ends: &[], avoid: &[] };
-        let choice = entries.pools[entry].pick(now, &ask).unwrap();
+        let request = RouteRequest {
+            tokens,
+            blocks: &[],
+            block_ends: &[],
+            excluded: &[],
+        };
+        let choice = entries.pools[entry].pick(now, &request).unwrap();
         let at = entries.index_of(&choice.id);
         let started_at = entries.idle_at[at].max(now as f32);
         entries.idle_at[at] = started_at + tokens as f32 / 51.0;
--- a/tests/all/fleet.rs
+++ b/tests/all/fleet.rs
@@ -1,7 +1,7 @@
 //! The gateway's fleet, while replicas change in the mesh.
 
 use azuremount::{
-    decide::{retry::Bound, route::Ask},
+    decide::{retry::Bound, route::RouteRequest},
     gateway::{
         fleet::{Fleet, Outcome},
         plan::Plan,
@@ -14,8 +14,8 @@
 use crate::world::draft;
 
 const BOUND: Bound = Bound { ratio: 0.2, slack: 10.0, window_ms: 10_000 };
-const ASK: Ask<'static> =
-    Ask { tokens: 100, blocks: &[], ends: &[], avoid: &[] };
+const ASK: RouteRequest<'static> =
+    RouteRequest { tokens: 100, blocks: &[], block_ends: &[], excluded: &[] };
 
 fn table() -> Table {
     Table::open(Peer { ip: 1, incarnation: 1, ..Peer::default() })
