--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -96,7 +96,7 @@
             };
             let now = number / 100;
             if let Some(choice) = pool.pick(now, &request) {
-                pool.end(now, choice.ticket, true, Some(900.0));
+                pool.record_end(now, choice.ticket, true, Some(900.0));
             }
         });
         let naive = Naive {
@@ -129,7 +129,7 @@
             };
             let now = number / 100;
             if let Some(choice) = pool.pick(now, &request) {
-                pool.end(now, choice.ticket, true, Some(900.0));
+                pool.record_end(now, choice.ticket, true, Some(900.0));
             }
         });
         let name = format!("route, short, {count} replicas");
--- a/src/decide/route/mod.rs
+++ b/src/decide/route/mod.rs
@@ -252,7 +252,7 @@
     }
 
     /// Sets the factor on the time to recompute prompt tokens.
-    pub fn set_recompute(&mut self, factor: f32) {
+    pub fn set_recompute_factor(&mut self, factor: f32) {
         self.weights.recompute = factor;
     }
 
@@ -312,7 +312,7 @@
 
     /// Sets this entry's shares of the replicas' rate limits, sorted by
     /// replica. Replicas without a share have no rate limit.
-    pub fn set_limits(&mut self, now: u64, parts: &[Part]) {
+    pub fn set_rate_limits(&mut self, now: u64, parts: &[Part]) {
         for replica in &mut self.replicas {
             let found =
                 position(parts, &replica.id_hash, |part| &part.replica);
@@ -329,7 +329,7 @@
 
     /// Returns how many serving replicas have a rate limit, and the sum of
     /// these limits; `None` if no serving replica has one.
-    pub fn limited(&self) -> Option<(usize, f32)> {
+    pub fn rate_limit_totals(&self) -> Option<(usize, f32)> {
         let serving =
             self.replicas.iter().filter(|replica| replica.is_serving());
         let limits =
@@ -388,7 +388,7 @@
     /// Records a load that was measured `age_ms` ago.
     ///
     /// An age of 0 is for the load that comes with an answer.
-    pub fn report(
+    pub fn record_load(
         &mut self,
         now: u64,
         id: &str,
@@ -418,7 +418,7 @@
     /// ago, and to each new replica at once: of the requests of seventy
     /// entries, a fifth met six or more others on their replica within 0.3 s,
     /// where one in a hundred would by chance.
-    pub fn report_others(
+    pub fn record_others_load(
         &mut self,
         now: u64,
         id: &str,
@@ -427,13 +427,13 @@
         age_ms: u64,
     ) {
         if let Some(at) = self.find(id, 0) {
-            self.report_others_at(now, at, load, pending, age_ms);
+            self.record_others_load_at(now, at, load, pending, age_ms);
         }
     }
 
-    /// Like [`Pool::report_others`], for the replica at index `at` in the
+    /// Like [`Pool::record_others_load`], for the replica at index `at` in the
     /// order of ids.
-    pub fn report_others_at(
+    pub fn record_others_load_at(
         &mut self,
         now: u64,
         at: usize,
@@ -456,21 +456,31 @@
     }
 
     /// Handles a cache event: a replica has evicted blocks.
-    pub fn evicted(&mut self, id: &str, incarnation: u64, blocks: &[u64]) {
+    pub fn record_evicted(
+        &mut self,
+        id: &str,
+        incarnation: u64,
+        blocks: &[u64],
+    ) {
         if let Some(at) = self.find(id, incarnation) {
             self.index.remove(self.replicas[at].number, blocks);
         }
     }
 
     /// Handles a cache event: a replica has cached blocks.
-    pub fn cached(&mut self, id: &str, incarnation: u64, blocks: &[u64]) {
+    pub fn record_cached(
+        &mut self,
+        id: &str,
+        incarnation: u64,
+        blocks: &[u64],
+    ) {
         if let Some(at) = self.find(id, incarnation) {
             self.index.insert(self.replicas[at].number, blocks);
         }
     }
 
     /// Records blocks that other entries have sent to a replica.
-    pub fn sent_elsewhere(&mut self, id_hash: u64, blocks: &[u64]) {
+    pub fn record_sent_by_others(&mut self, id_hash: u64, blocks: &[u64]) {
         let found =
             position(&self.numbers_by_hash, &id_hash, |(hash, _)| hash);
         if let Ok(at) = found {
@@ -495,7 +505,7 @@
     }
 
     /// Records a piece of the answer to a request.
-    pub fn progress(&mut self, now: u64, ticket: Ticket, first: bool) {
+    pub fn record_progress(&mut self, now: u64, ticket: Ticket, first: bool) {
         let Some(replica) = self.by_number(ticket.number) else { return };
         let found = replica
             .last_progress
@@ -533,7 +543,7 @@
 
     /// Records that a request has ended; `held_ms` is the time that it held
     /// its slot, or `None` if it failed.
-    pub fn end(
+    pub fn record_end(
         &mut self,
         now: u64,
         ticket: Ticket,
@@ -572,7 +582,7 @@
     }
 
     /// Records that a request was not sent after all.
-    pub fn take_back(&mut self, ticket: Ticket, now: u64) {
+    pub fn cancel_unsent(&mut self, ticket: Ticket, now: u64) {
         self.abandon(ticket, now, false);
         let replica = self.by_number(ticket.number);
         if let Some(bucket) =
@@ -591,7 +601,7 @@
     /// Returns, for each replica, its id, the number of this entry's requests
     /// in flight there, and the prompt tokens that it has yet to compute for
     /// them.
-    pub fn own(&self) -> impl Iterator<Item = (&str, u32, u32)> {
+    pub fn own_loads(&self) -> impl Iterator<Item = (&str, u32, u32)> {
         self.replicas.iter().map(|replica| {
             let pending = replica.pending_tokens as u32;
             (replica.identity.id.as_str(), replica.own_in_flight, pending)
--- a/src/entry/endpoints.rs
+++ b/src/entry/endpoints.rs
@@ -309,8 +309,8 @@
     if let Some(service) = service
         && let Some(pool) = fleet.pool(&service)
     {
-        pool.cached(&body.id, body.incarnation, &added);
-        pool.evicted(&body.id, body.incarnation, &evicted);
+        pool.record_cached(&body.id, body.incarnation, &added);
+        pool.record_evicted(&body.id, body.incarnation, &evicted);
     }
     Ok(Response::json(StatusCode::OK, &json!({})))
 }
--- a/src/entry/fleet.rs
+++ b/src/entry/fleet.rs
@@ -136,7 +136,9 @@
             let near = self.near.clone();
             let pool = self.pool_or_new(&service.name, service.kind);
             pool.set_policy(service.routing);
-            pool.set_recompute(service.recompute_percent as f32 / 100.0);
+            pool.set_recompute_factor(
+                service.recompute_percent as f32 / 100.0,
+            );
             pool.set_replicas(&near, &list);
         }
     }
@@ -167,7 +169,7 @@
             };
             let service = endpoint.service.clone();
             if let Some(pool) = self.pool(&service) {
-                pool.report(
+                pool.record_load(
                     now,
                     &load.endpoint,
                     load.incarnation,
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -337,7 +337,7 @@
         };
         let mut fleet = self.state.fleet();
         if let Some(pool) = fleet.pool(&self.record.service) {
-            pool.end(now, choice.ticket, started, held);
+            pool.record_end(now, choice.ticket, started, held);
         }
         result
     }
@@ -486,7 +486,7 @@
         }
         let mut fleet = self.state.fleet();
         if let Some(pool) = fleet.pool(&self.record.service) {
-            pool.progress(now, choice.ticket, first);
+            pool.record_progress(now, choice.ticket, first);
         }
     }
 
@@ -494,7 +494,7 @@
         let now = self.state.now();
         let mut fleet = self.state.fleet();
         if let Some(pool) = fleet.pool(&self.record.service) {
-            pool.report(now, &choice.id, choice.incarnation, load, 0);
+            pool.record_load(now, &choice.id, choice.incarnation, load, 0);
         }
     }
 
--- a/src/entry/plain.rs
+++ b/src/entry/plain.rs
@@ -482,14 +482,14 @@
     match result {
         Ok(answer) => {
             let held = now.saturating_sub(sent_at) as f32;
-            pool.end(now, choice.ticket, true, Some(held));
+            pool.record_end(now, choice.ticket, true, Some(held));
             let load = load_of(&answer.headers);
             if let Some(load) = load {
                 let (id, incarnation) = (&choice.id, choice.incarnation);
-                pool.report(now, id, incarnation, load, 0);
+                pool.record_load(now, id, incarnation, load, 0);
             }
         }
-        Err(_) => pool.end(now, choice.ticket, false, None),
+        Err(_) => pool.record_end(now, choice.ticket, false, None),
     }
 }
 
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -291,7 +291,9 @@
                 .iter_mut()
                 .find(|routed| name_hash(&routed.name) == part.service);
             if let Some(routed) = routed {
-                routed.pool.sent_elsewhere(part.replica, &cached_blocks(part));
+                routed
+                    .pool
+                    .record_sent_by_others(part.replica, &cached_blocks(part));
             }
         }
     }
@@ -330,9 +332,9 @@
         load: Option<u32>,
     ) {
         let Some(routed) = self.find(service) else { return };
-        routed.pool.progress(now, target.ticket, true);
+        routed.pool.record_progress(now, target.ticket, true);
         if let Some(load) = load {
-            routed.pool.report(now, &target.replica, 0, load, 0);
+            routed.pool.record_load(now, &target.replica, 0, load, 0);
         }
         let at =
             position(&routed.places, &target.replica, |place| &place.replica);
@@ -349,7 +351,7 @@
         ticket: Ticket,
     ) {
         if let Some(routed) = self.find(service) {
-            routed.pool.progress(now, ticket, false);
+            routed.pool.record_progress(now, ticket, false);
         }
     }
 
@@ -365,13 +367,18 @@
         let Some(routed) = self.find(service) else { return };
         match outcome {
             Outcome::Completed { held_ms } => {
-                routed.pool.end(now, ticket, started, Some(held_ms as f32));
+                routed.pool.record_end(
+                    now,
+                    ticket,
+                    started,
+                    Some(held_ms as f32),
+                );
             }
             Outcome::Failed | Outcome::Disconnected => {
-                routed.pool.end(now, ticket, started, None);
+                routed.pool.record_end(now, ticket, started, None);
             }
             Outcome::Abandoned => routed.pool.abandon(ticket, now, started),
-            Outcome::NotSent => routed.pool.take_back(ticket, now),
+            Outcome::NotSent => routed.pool.cancel_unsent(ticket, now),
         }
     }
 
@@ -379,7 +386,7 @@
     /// replica.
     pub fn set_rate_limits(&mut self, now: u64, parts: &[Part]) {
         for service in &mut self.services {
-            service.pool.set_limits(now, parts);
+            service.pool.set_rate_limits(now, parts);
         }
     }
 
@@ -387,7 +394,7 @@
     /// no room now; returns `None` if no replica has announced a rate limit.
     pub fn enqueue(&mut self, now: u64, service: &str) -> Option<Queue> {
         let routed = self.find(service)?;
-        let (replicas, rate) = routed.pool.limited()?;
+        let (replicas, rate) = routed.pool.rate_limit_totals()?;
         let own = rate / (routed.pool.peers() + 1.0);
         let step_ms = (1000.0 / own.max(f32::MIN_POSITIVE)) as u64;
         let end = routed.queue_end.max(now).saturating_add(step_ms);
@@ -410,7 +417,8 @@
 
     /// Returns this node's requests in flight, for the other nodes.
     pub fn in_flight(&self) -> Vec<Under> {
-        let pools = self.services.iter().flat_map(|routed| routed.pool.own());
+        let pools =
+            self.services.iter().flat_map(|routed| routed.pool.own_loads());
         pools
             .filter(|(_, count, _)| *count > 0)
             .map(|(id, count, pending)| Under {
@@ -555,7 +563,8 @@
             // known yet.
             if now >= replica.since + lag_ms {
                 let (load, pending) = loads.at(replica.hash());
-                self.pool.report_others_at(now, at, load, pending, lag_ms);
+                self.pool
+                    .record_others_load_at(now, at, load, pending, lag_ms);
             }
         }
     }
@@ -582,7 +591,8 @@
             if at.is_err() {
                 let hash = replica.hash();
                 for cached in memory.parts_of(hash) {
-                    self.pool.sent_elsewhere(hash, &cached_blocks(cached));
+                    self.pool
+                        .record_sent_by_others(hash, &cached_blocks(cached));
                 }
             }
         }
--- a/tests/all/decide.rs
+++ b/tests/all/decide.rs
@@ -70,7 +70,7 @@
                     // This pick recomputes the load floor if that is due, so
                     // that the next pick does not.
                     let first = pool.pick(now, &request).expect("a replica");
-                    pool.end(now, first.ticket, true, Some(100.0));
+                    pool.record_end(now, first.ticket, true, Some(100.0));
                     let costs: Vec<(String, f32)> = identities(8)
                         .into_iter()
                         .map(|identity| {
@@ -98,13 +98,13 @@
                 6..9 if !in_flight.is_empty() => {
                     let at = rng.random_range(0..in_flight.len());
                     let ticket = in_flight.swap_remove(at);
-                    pool.end(now, ticket, true, Some(500.0));
+                    pool.record_end(now, ticket, true, Some(500.0));
                 }
                 _ => {
                     let number = rng.random_range(0..8);
                     let load = rng.random_range(0..6);
                     let id = format!("gpu-{number:02}");
-                    pool.report(now, &id, 1, load, 300);
+                    pool.record_load(now, &id, 1, load, 300);
                 }
             }
         }
@@ -170,7 +170,7 @@
             if id == "gpu-02" && now > 1000 || *until > now {
                 return true;
             }
-            pool.end(now, *ticket, true, Some(300.0));
+            pool.record_end(now, *ticket, true, Some(300.0));
             false
         });
         if rng.random_range(0..100) < 3 {
@@ -191,10 +191,10 @@
 #[test]
 fn a_late_report_does_not_replace_a_newer_load() {
     let mut pool = pool(2, 0);
-    pool.report(1000, "gpu-00", 1, 0, 0);
-    pool.report(1000, "gpu-01", 1, 9, 0);
-    pool.report(1100, "gpu-00", 1, 9, 1000);
-    pool.report(1100, "gpu-01", 1, 0, 1000);
+    pool.record_load(1000, "gpu-00", 1, 0, 0);
+    pool.record_load(1000, "gpu-01", 1, 9, 0);
+    pool.record_load(1100, "gpu-00", 1, 9, 1000);
+    pool.record_load(1100, "gpu-01", 1, 0, 1000);
     for _ in 0..3 {
         let choice = pool.pick(1200, &request(&[], &[])).expect("a replica");
         assert_eq!(choice.id, "gpu-00");
@@ -217,13 +217,13 @@
             if now % 40 == 0 {
                 let choice =
                     pool.pick(now, &request(&[], &[])).expect("a replica");
-                pool.end(now, choice.ticket, true, Some(300.0));
+                pool.record_end(now, choice.ticket, true, Some(300.0));
             }
         }
         for number in 0..8 {
             let load = if number == 4 { 0 } else { 2 };
             let id = format!("gpu-{number:02}");
-            pool.report(1000, &id, 1, load, 1000);
+            pool.record_load(1000, &id, 1, load, 1000);
         }
         let choice = pool.pick(1100, &request(&[], &[])).expect("a replica");
         *counts.entry(choice.id).or_insert(0) += 1;
@@ -369,7 +369,7 @@
     let mut pool = pool(4, 0);
     let prompt = blocks("a long packet ".repeat(300).as_bytes());
     let first = pool.pick(0, &request(&prompt, &[])).unwrap();
-    pool.end(100, first.ticket, true, Some(100.0));
+    pool.record_end(100, first.ticket, true, Some(100.0));
     let mut silenced = identities(4);
     for identity in &mut silenced {
         if identity.id == first.id {
@@ -474,7 +474,7 @@
     }
 
     fn report(&mut self, entry: usize) {
-        let own = self.pools[entry].own();
+        let own = self.pools[entry].own_loads();
         self.reports[entry] = own.map(|(_, n, left)| (n, left)).collect();
     }
 
@@ -486,7 +486,7 @@
                 (sum.0 + reports[replica].0, sum.1 + reports[replica].1)
             });
             let id = self.identities[replica].id.clone();
-            self.pools[entry].report_others(
+            self.pools[entry].record_others_load(
                 now,
                 &id,
                 sum.0,
@@ -539,10 +539,15 @@
             let is_due = *at <= now;
             match (is_due, first) {
                 (true, true) => {
-                    entries.pools[*entry].progress(now, *ticket, true);
+                    entries.pools[*entry].record_progress(now, *ticket, true);
                 }
                 (true, false) => {
-                    entries.pools[*entry].end(now, *ticket, true, Some(900.0));
+                    entries.pools[*entry].record_end(
+                        now,
+                        *ticket,
+                        true,
+                        Some(900.0),
+                    );
                 }
                 _ => {}
             }
