--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -12,7 +12,7 @@
 
 use azuremount::decide::{
     admit::{Arrival, Gate, Room},
-    prefix::blocks,
+    prefix::hash_blocks,
     route::{Availability, Identity, Policy, Pool, RouteRequest, Weights},
 };
 
@@ -78,7 +78,7 @@
     let prompts: Vec<Vec<u64>> = (0..64)
         .map(|number| {
             let text = format!("packet {number} ").repeat(1200);
-            blocks(text.as_bytes())
+            hash_blocks(text.as_bytes())
         })
         .collect();
     println!("{:36} {:>10} {:>10}", "decision", "ns", "naive ns");
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -25,7 +25,7 @@
 };
 
 use azuremount::{
-    decide::prefix::{BLOCK_TOKENS, blocks},
+    decide::prefix::{BLOCK_TOKENS, hash_blocks},
     entry::dispatch::{Call, Dispatcher},
     wire::{apply_outcome, change, outcome},
 };
@@ -339,7 +339,7 @@
         .iter()
         .map(|request| {
             let prompt = format!("user\n{}\n", request.prompt);
-            let all = blocks(prompt.as_bytes());
+            let all = hash_blocks(prompt.as_bytes());
             let repeated = all
                 .iter()
                 .filter(|block| !computed_blocks.insert(**block))
--- a/examples/standin/engine.rs
+++ b/examples/standin/engine.rs
@@ -13,7 +13,7 @@
 };
 
 use azuremount::{
-    decide::prefix::{BLOCK_TOKENS, blocks},
+    decide::prefix::{BLOCK_TOKENS, hash_blocks},
     entry::{
         chat::Chat,
         dispatch::{Call, Dispatcher},
@@ -181,7 +181,7 @@
         };
         Ok(Job {
             id: request.header("azuremount-request").unwrap_or("-").to_owned(),
-            blocks: blocks(chat.prompt.as_bytes()),
+            blocks: hash_blocks(chat.prompt.as_bytes()),
             chat,
             resume,
             imported,
--- a/src/decide/prefix.rs
+++ b/src/decide/prefix.rs
@@ -21,13 +21,13 @@
 /// Maximum number of blocks recorded for one replica.
 ///
 /// When a replica exceeds it, the older half of its blocks is evicted.
-pub const BLOCKS_PER_REPLICA: u32 = 4096;
+pub const MAX_BLOCKS_PER_REPLICA: u32 = 4096;
 
 const SHARD_COUNT: usize = 256;
 
 /// Returns the hashes of the complete blocks of a prompt. Each hash covers all
 /// blocks up to its own.
-pub fn blocks(prompt: &[u8]) -> Vec<u64> {
+pub fn hash_blocks(prompt: &[u8]) -> Vec<u64> {
     let mut hasher = DefaultHasher::new();
     prompt
         .chunks_exact(BLOCK_BYTES)
@@ -58,7 +58,7 @@
 
 impl Default for Index {
     fn default() -> Index {
-        Index::open(BLOCKS_PER_REPLICA)
+        Index::open(MAX_BLOCKS_PER_REPLICA)
     }
 }
 
--- a/src/decide/route/cost.rs
+++ b/src/decide/route/cost.rs
@@ -175,7 +175,7 @@
             })
             .max_by_key(|(_, replica)| mix(key ^ replica.id_hash));
         if let Some((at, home)) = home {
-            let assumed = request.tokens as f32 * self.weights.home;
+            let assumed = request.tokens as f32 * self.weights.home_share;
             home.matched_tokens = home.matched_tokens.max(assumed as u32);
             self.matched_replicas.push(at);
         }
@@ -206,9 +206,9 @@
         let batch = load.min(slots) * weights.batch_ms;
         let uncached = request.tokens.saturating_sub(replica.matched_tokens);
         let fetched = self.fetchable_tokens(replica, request);
-        let fetch =
-            fetched as f32 * weights.fetch_ms.unwrap_or(weights.token_ms);
-        let uncached = (uncached - fetched) as f32 * weights.recompute;
+        let fetch = fetched as f32
+            * weights.fetch_token_ms.unwrap_or(weights.token_ms);
+        let uncached = (uncached - fetched) as f32 * weights.recompute_factor;
         let pending = replica.pending_tokens
             + self.expected_others_pending(now, replica);
         let compute = (uncached + pending) * weights.token_ms + fetch;
@@ -224,7 +224,7 @@
                 None => 0.0,
             };
         let failed = replica.penalty_until.saturating_sub(now) as f32 * 10.0
-            + replica.decayed_failure_rate(now) * weights.failing_ms;
+            + replica.decayed_failure_rate(now) * weights.failure_ms;
         let mut cost = queue + batch + compute + stall_ms + failed;
         if identity.reclaimable {
             cost += weights.reclaim_ms;
@@ -264,7 +264,7 @@
             + self.expected_others_pending(now, replica);
         let compute =
             ((uncached - fetched) as f32 + pending) * self.unloaded_token_ms;
-        let fetch = fetched as f32 * weights.fetch_ms.unwrap_or(0.0);
+        let fetch = fetched as f32 * weights.fetch_token_ms.unwrap_or(0.0);
         let slots = replica.identity.slots as f32;
         let load = self.estimate(replica);
         let excess = (load + 1.0 - slots).max(0.0);
@@ -278,7 +278,7 @@
         replica: &Replica,
         request: &RouteRequest<'_>,
     ) -> u32 {
-        if self.weights.fetch_ms.is_none() {
+        if self.weights.fetch_token_ms.is_none() {
             return 0;
         }
         let longest = self.best_holder().map_or(0, |(_, count)| count);
--- a/src/decide/route/mod.rs
+++ b/src/decide/route/mod.rs
@@ -223,7 +223,7 @@
             policy,
             weights,
             replicas: Vec::new(),
-            index: Index::open(weights.blocks),
+            index: Index::open(weights.max_blocks_per_replica),
             rng: StdRng::seed_from_u64(seed),
             next_number: 0,
             next_serial: 0,
@@ -253,7 +253,7 @@
 
     /// Sets the factor on the time to recompute prompt tokens.
     pub fn set_recompute_factor(&mut self, factor: f32) {
-        self.weights.recompute = factor;
+        self.weights.recompute_factor = factor;
     }
 
     /// Sets the number of other entries that route by the same policy.
@@ -673,7 +673,7 @@
     /// Returns the index of the replica that holds most of the prompt, if
     /// fetching from it is worthwhile.
     fn fetch_source(&self, chosen: usize, cached: u32) -> Option<usize> {
-        self.weights.fetch_ms?;
+        self.weights.fetch_token_ms?;
         let (at, held_tokens) = self.best_holder()?;
         (at != chosen && held_tokens >= cached + MIN_FETCH_TOKENS)
             .then_some(at)
--- a/src/decide/route/weights.rs
+++ b/src/decide/route/weights.rs
@@ -1,6 +1,6 @@
 //! Weights of the parts of a replica's cost.
 
-use crate::decide::prefix::{BLOCK_TOKENS, BLOCKS_PER_REPLICA};
+use crate::decide::prefix::{BLOCK_TOKENS, MAX_BLOCKS_PER_REPLICA};
 
 /// Weights of the parts of a replica's cost.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -11,7 +11,7 @@
     /// A pool adjusts it by the requests that it sends.
     pub token_ms: f32,
     /// Factor on the time to recompute prompt tokens that are not cached.
-    pub recompute: f32,
+    pub recompute_factor: f32,
     ///
     /// Initial time that a request holds its slot, in ms; adjusted by the
     /// requests that a pool sends.
@@ -32,35 +32,35 @@
     pub tolerance_ms: f32,
     /// Share of a prompt that its home replica is assumed to hold when no
     /// replica is known to hold at least half of it, from 0 to 1.
-    pub home: f32,
+    pub home_share: f32,
     /// Prompt tokens in a block.
     pub block_tokens: u32,
     /// Maximum number of blocks that the prefix index remembers for one
     /// replica.
-    pub blocks: u32,
+    pub max_blocks_per_replica: u32,
     /// Extra cost of a replica that fails all its requests, in ms.
-    pub failing_ms: f32,
+    pub failure_ms: f32,
     /// Time to fetch one token of a cached prompt from another replica, in ms;
     /// `None` if replicas cannot fetch from each other.
-    pub fetch_ms: Option<f32>,
+    pub fetch_token_ms: Option<f32>,
 }
 
 impl Default for Weights {
     fn default() -> Weights {
         Weights {
             token_ms: 0.2,
-            recompute: 1.0,
+            recompute_factor: 1.0,
             hold_ms: 2000.0,
             batch_ms: 10.0,
             reclaim_ms: 2.0,
             price_ms: 0.0,
             distance_ms: 1.0,
             tolerance_ms: 5.0,
-            home: 0.5,
+            home_share: 0.5,
             block_tokens: BLOCK_TOKENS,
-            blocks: BLOCKS_PER_REPLICA,
-            failing_ms: 3000.0,
-            fetch_ms: None,
+            max_blocks_per_replica: MAX_BLOCKS_PER_REPLICA,
+            failure_ms: 3000.0,
+            fetch_token_ms: None,
         }
     }
 }
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -218,7 +218,7 @@
             state,
             record,
             chat,
-            blocks: prefix::blocks(chat.prompt.as_bytes()),
+            blocks: prefix::hash_blocks(chat.prompt.as_bytes()),
             labels: Labels {
                 team: record.team.clone(),
                 service: record.service.clone(),
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -641,8 +641,10 @@
             batch_ms: BATCH_DELAY_MS,
             reclaim_ms: 0.0,
             block_tokens: BLOCK_TOKENS,
-            fetch_ms: engine.fetch_ms,
-            blocks: (engine.cache_tokens / u64::from(BLOCK_TOKENS)) as u32,
+            fetch_token_ms: engine.fetch_ms,
+            max_blocks_per_replica: (engine.cache_tokens
+                / u64::from(BLOCK_TOKENS))
+                as u32,
             ..defaults
         },
         None => Weights {
--- a/tests/all/decide.rs
+++ b/tests/all/decide.rs
@@ -6,7 +6,7 @@
 use azuremount::decide::{
     admit::{Arrival, Gate, Room},
     moving::{Stream, should_move},
-    prefix::{BLOCK_TOKENS, Index, blocks},
+    prefix::{BLOCK_TOKENS, Index, hash_blocks},
     retry::Budget,
     route::{Availability, Identity, Policy, Pool, RouteRequest, Weights},
 };
@@ -53,7 +53,7 @@
         let prompts: Vec<Vec<u64>> = (0..6)
             .map(|number| {
                 let text = format!("packet {number} ").repeat(300);
-                blocks(text.as_bytes())
+                hash_blocks(text.as_bytes())
             })
             .collect();
         let mut in_flight = Vec::new();
@@ -236,7 +236,7 @@
 /// prompt to the same replica.
 #[test]
 fn a_prompt_has_the_same_home_replica_at_every_entry() {
-    let prompt = blocks("one contract ".repeat(600).as_bytes());
+    let prompt = hash_blocks("one contract ".repeat(600).as_bytes());
     let home_replicas: BTreeSet<String> = (0..11)
         .map(|entry| {
             let weights = Weights::default();
@@ -367,7 +367,7 @@
 #[test]
 fn a_briefly_silent_replica_keeps_its_cached_blocks() {
     let mut pool = pool(4, 0);
-    let prompt = blocks("a long packet ".repeat(300).as_bytes());
+    let prompt = hash_blocks("a long packet ".repeat(300).as_bytes());
     let first = pool.pick(0, &request(&prompt, &[])).unwrap();
     pool.record_end(100, first.ticket, true, Some(100.0));
     let mut silenced = identities(4);
@@ -403,7 +403,7 @@
     assert_eq!(blocks.len(), ends.len());
     let weights = Weights {
         block_tokens: 512,
-        fetch_ms: Some(0.002),
+        fetch_token_ms: Some(0.002),
         token_ms: 0.02,
         ..Weights::default()
     };
