--- a/src/decide/place.rs
+++ b/src/decide/place.rs
@@ -88,7 +88,7 @@
         pub price: f64,
         /// No reclaimable replicas are available: an order was refused, or the
         /// existing ones are being reclaimed.
-        pub dry: bool,
+        pub spot_unavailable: bool,
     }
 }
 
@@ -96,9 +96,9 @@
     /// Bounds on the replicas of one engine.
     pub struct Bounds {
         /// Minimum number of replicas of a data centre, both kinds together.
-        pub least: u32,
+        pub min_replicas: u32,
         /// Maximum number of replicas of a data centre, both kinds together.
-        pub most: u32,
+        pub max_replicas: u32,
         /// Whether reclaimable replicas exist at all.
         pub has_spot: bool,
         /// Mean propagation delay after which entries know what other entries
@@ -109,7 +109,7 @@
 
 common! {
     /// Target number of replicas of each kind in one data centre.
-    pub struct Wish {
+    pub struct Target {
         /// Name of the data centre.
         pub data_centre: String,
         /// Reclaimable replicas.
@@ -154,14 +154,14 @@
             has_had_load: false,
             initial_replicas: 0,
         };
-        load.find(found);
+        load.record_initial_replicas(found);
         load
     }
 
     /// Records the number of replicas that are present and were not ordered by
     /// this policy. It counts until there is a load: at the start, replicas
     /// announce themselves one after the other.
-    pub fn find(&mut self, found: u32) {
+    pub fn record_initial_replicas(&mut self, found: u32) {
         if !self.has_had_load {
             self.initial_replicas = self.initial_replicas.max(found);
             self.peak = self
@@ -172,7 +172,7 @@
 
     /// Records, by node, the prompt computation time sent since the start of
     /// the node, in ms.
-    pub fn note(&mut self, now: u64, sent: Vec<(u64, u64)>) {
+    pub fn record_sent(&mut self, now: u64, sent: Vec<(u64, u64)>) {
         let elapsed_ms = now.saturating_sub(self.updated_at).max(1) as f32;
         let added_ms: u64 = sent
             .iter()
@@ -220,19 +220,32 @@
 /// At the start of the system these are the ordinary replicas. A node that
 /// starts later sees the reclaimable replicas that were ordered in their
 /// place.
-pub fn found(ordinary: usize, spot: usize, sites: usize) -> u32 {
+pub fn estimate_initial_replicas(
+    ordinary: usize,
+    spot: usize,
+    sites: usize,
+) -> u32 {
     let after_a_loss = (spot * sites.saturating_sub(1)) / sites.max(1);
     let initial = (after_a_loss as f32 / INITIAL_SHARE_AFTER_LOSS) as u32;
     initial.max(ordinary as u32)
 }
 
 /// Returns the target of each data centre, in the order of `sites`.
-pub fn wishes(sites: &[Site], bounds: &Bounds, load: &Load) -> Vec<Wish> {
+pub fn compute_targets(
+    sites: &[Site],
+    bounds: &Bounds,
+    load: &Load,
+) -> Vec<Target> {
     let need = needed_replicas(load);
     let count = sites.len().max(1) as u32;
     if !bounds.has_spot {
-        let per_site = need.div_ceil(count).clamp(bounds.least, bounds.most);
-        return sites.iter().map(|site| wish(site, 0, per_site)).collect();
+        let per_site = need
+            .div_ceil(count)
+            .clamp(bounds.min_replicas, bounds.max_replicas);
+        return sites
+            .iter()
+            .map(|site| new_target(site, 0, per_site))
+            .collect();
     }
     let surviving_sites = (count - 1).max(1);
     let after_loss = (load.initial_replicas as f32 * INITIAL_SHARE_AFTER_LOSS)
@@ -243,12 +256,12 @@
         .max(after_loss)
         .max(for_prefill)
         .div_ceil(surviving_sites)
-        .clamp(bounds.least, bounds.most);
+        .clamp(bounds.min_replicas, bounds.max_replicas);
     // While reclaimable replicas are unavailable: enough for one more loss.
     let total = (need * count).div_ceil(surviving_sites).min(per_site * count);
     let max_kept =
         per_site + ((per_site as f32 * MAX_SURPLUS_SHARE) as u32).max(1);
-    let mut wishes: Vec<Wish> = sites
+    let mut targets: Vec<Target> = sites
         .iter()
         .map(|site| {
             // Where some data centres lack replicas, the load has moved to the
@@ -257,18 +270,25 @@
             let keeps_all =
                 has_shortage || site.spot <= max_kept || !load.can_release();
             let release = if keeps_all { 0 } else { max_released(site.spot) };
-            let kept = (site.spot - release).min(bounds.most);
+            let kept = (site.spot - release).min(bounds.max_replicas);
             // Both kinds share the bound. An order beyond it would not be met.
             // The target rises again once ordinary replicas have been
             // released.
-            let room = bounds.most.saturating_sub(site.ordinary).max(1);
-            wish(site, per_site.min(room).max(kept), 0)
+            let room =
+                bounds.max_replicas.saturating_sub(site.ordinary).max(1);
+            new_target(site, per_site.min(room).max(kept), 0)
         })
         .collect();
     // Reclaimable replicas that will probably serve soon.
     let expected_spot: u32 = sites
         .iter()
-        .map(|site| if site.dry { site.spot.min(per_site) } else { per_site })
+        .map(|site| {
+            if site.spot_unavailable {
+                site.spot.min(per_site)
+            } else {
+                per_site
+            }
+        })
         .sum();
     let serving_spot: u32 =
         sites.iter().map(|site| site.spot.min(per_site)).sum();
@@ -279,8 +299,8 @@
             kept_ordinary.max(present.saturating_sub(max_released(total)));
     }
     let ordinary = total.saturating_sub(expected_spot).max(kept_ordinary);
-    distribute_ordinary(ordinary, sites, bounds, &mut wishes);
-    wishes
+    distribute_ordinary(ordinary, sites, bounds, &mut targets);
+    targets
 }
 
 /// Returns how many of `count` replicas may be released at a time.
@@ -300,8 +320,8 @@
     PREFILL_SHARE + (LAGGED_PREFILL_SHARE - PREFILL_SHARE) * lag_share
 }
 
-fn wish(site: &Site, spot: u32, ordinary: u32) -> Wish {
-    Wish { data_centre: site.data_centre.clone(), spot, ordinary }
+fn new_target(site: &Site, spot: u32, ordinary: u32) -> Target {
+    Target { data_centre: site.data_centre.clone(), spot, ordinary }
 }
 
 /// Distributes ordinary replicas over the data centres: existing replicas
@@ -311,13 +331,13 @@
     wanted: u32,
     sites: &[Site],
     bounds: &Bounds,
-    wishes: &mut [Wish],
+    targets: &mut [Target],
 ) {
-    let room = |site: &Site| bounds.most.saturating_sub(site.spot);
+    let room = |site: &Site| bounds.max_replicas.saturating_sub(site.spot);
     let mut remaining = wanted;
-    for (site, wish) in sites.iter().zip(&mut *wishes) {
-        wish.ordinary = site.ordinary.min(room(site)).min(remaining);
-        remaining -= wish.ordinary;
+    for (site, target) in sites.iter().zip(&mut *targets) {
+        target.ordinary = site.ordinary.min(room(site)).min(remaining);
+        remaining -= target.ordinary;
     }
     let mut by_price: Vec<usize> = (0..sites.len()).collect();
     by_price.sort_by(|&left, &right| {
@@ -326,8 +346,8 @@
     while remaining > 0 {
         let before = remaining;
         for &at in &by_price {
-            if remaining > 0 && wishes[at].ordinary < room(&sites[at]) {
-                wishes[at].ordinary += 1;
+            if remaining > 0 && targets[at].ordinary < room(&sites[at]) {
+                targets[at].ordinary += 1;
                 remaining -= 1;
             }
         }
--- a/src/duty/scale.rs
+++ b/src/duty/scale.rs
@@ -4,7 +4,9 @@
 
 use super::{Error, Options, Order, Tools};
 use crate::{
-    decide::place::{Bounds, Load, Site, found, wishes},
+    decide::place::{
+        Bounds, Load, Site, compute_targets, estimate_initial_replicas,
+    },
     gateway::plan::{Plan, Scaling, Service},
     mesh::{
         mean_lag_ms,
@@ -94,28 +96,28 @@
             let mut sites = sites(scaling, &ready);
             for site in &mut sites {
                 let name = &site.data_centre;
-                site.dry = self.is_dry(now, &service.name, name)
+                site.spot_unavailable = self.is_dry(now, &service.name, name)
                     || is_being_reclaimed(now, table, service, name);
             }
             let bounds = Bounds {
-                least: scaling.min_replicas,
-                most: scaling.max_replicas,
+                min_replicas: scaling.min_replicas,
+                max_replicas: scaling.max_replicas,
                 has_spot: scaling.spot_price.is_some(),
                 // Of all nodes, though only the active ones choose replicas:
                 // see `sizing_lag_ms`.
                 lag_ms: sizing_lag_ms(table),
             };
-            for (wish, site) in
-                wishes(&sites, &bounds, load).iter().zip(&sites)
+            for (target, site) in
+                compute_targets(&sites, &bounds, load).iter().zip(&sites)
             {
                 let kinds = [
-                    (true, wish.spot, site.spot),
-                    (false, wish.ordinary, site.ordinary),
+                    (true, target.spot, site.spot),
+                    (false, target.ordinary, site.ordinary),
                 ];
                 for (reclaimable, count, there) in kinds {
                     let order = Order {
                         service: service.name.clone(),
-                        data_centre: wish.data_centre.clone(),
+                        data_centre: target.data_centre.clone(),
                         reclaimable,
                         count,
                     };
@@ -139,7 +141,7 @@
         let spot = ready.iter().filter(|one| one.says.reclaimable).count();
         let scaling = service.scaling.as_ref();
         let sites = scaling.map_or(1, |scaling| scaling.prices.len());
-        let found = found(ready.len() - spot, spot, sites);
+        let found = estimate_initial_replicas(ready.len() - spot, spot, sites);
         let known = self.loads.iter().position(|(known, _)| known == name);
         let at = known.unwrap_or_else(|| {
             let load = Load::open(now, found);
@@ -147,8 +149,8 @@
             self.loads.len() - 1
         });
         let load = &mut self.loads[at].1;
-        load.find(found);
-        load.note(now, table.work(name_hash(name)));
+        load.record_initial_replicas(found);
+        load.record_sent(now, table.work(name_hash(name)));
     }
 
     fn is_due(&self, now: u64, order: &Order, there: u32) -> bool {
@@ -255,7 +257,7 @@
             spot: count(data_centre, true),
             ordinary: count(data_centre, false),
             price: *price,
-            dry: false,
+            spot_unavailable: false,
         })
         .collect()
 }
--- a/tests/all/limits.rs
+++ b/tests/all/limits.rs
@@ -1,7 +1,9 @@
 //! Tests of quotas, retry budgets and placement in virtual time.
 
 use azuremount::decide::{
-    place::{Bounds, Load, Site, Wish, found, wishes},
+    place::{
+        Bounds, Load, Site, Target, compute_targets, estimate_initial_replicas,
+    },
     quota::{Allowance, Meter},
     retry::{Bound, Window},
 };
@@ -310,7 +312,7 @@
 // ---- Placement ---------------------------------------------------------------
 
 const BOUNDS: Bounds =
-    Bounds { least: 1, most: 10, has_spot: true, lag_ms: 0.0 };
+    Bounds { min_replicas: 1, max_replicas: 10, has_spot: true, lag_ms: 0.0 };
 
 fn sites(spot: [u32; 4], ordinary: [u32; 4]) -> Vec<Site> {
     let prices = [1.0, 0.8, 1.25, 0.9];
@@ -320,7 +322,7 @@
             spot: spot[at],
             ordinary: ordinary[at],
             price: prices[at],
-            dry: false,
+            spot_unavailable: false,
         })
         .collect()
 }
@@ -331,17 +333,17 @@
     let mut load = Load::open(0, 18);
     for second in 1..120u64 {
         let sent = (second as f64 * computing * 1000.0) as u64;
-        load.note(second * 1000, vec![(1, sent)]);
+        load.record_sent(second * 1000, vec![(1, sent)]);
     }
     load
 }
 
-fn spots(wishes: &[Wish]) -> Vec<u32> {
-    wishes.iter().map(|wish| wish.spot).collect()
+fn spots(targets: &[Target]) -> Vec<u32> {
+    targets.iter().map(|target| target.spot).collect()
 }
 
-fn ordinaries(wishes: &[Wish]) -> u32 {
-    wishes.iter().map(|wish| wish.ordinary).sum()
+fn ordinaries(targets: &[Target]) -> u32 {
+    targets.iter().map(|target| target.ordinary).sum()
 }
 
 /// After two data centres lose their reclaimable replicas without a reaction,
@@ -349,10 +351,10 @@
 #[test]
 fn two_reclaimed_data_centres_leave_enough_replicas() {
     let load = load(4.0);
-    let wishes = wishes(&sites([9; 4], [0; 4]), &BOUNDS, &load);
-    let remaining: u32 = spots(&wishes).iter().skip(2).sum();
-    assert!(remaining as f32 * 0.4 >= 4.0, "{wishes:?}");
-    assert_eq!(ordinaries(&wishes), 0);
+    let targets = compute_targets(&sites([9; 4], [0; 4]), &BOUNDS, &load);
+    let remaining: u32 = spots(&targets).iter().skip(2).sum();
+    assert!(remaining as f32 * 0.4 >= 4.0, "{targets:?}");
+    assert_eq!(ordinaries(&targets), 0);
 }
 
 /// Guards against too few replicas for many seconds after a reclaim, when
@@ -361,13 +363,13 @@
 fn ordinary_replicas_stand_in_for_reclaimed_ones() {
     let load = load(4.0);
     let mut after = sites([0, 0, 5, 5], [0; 4]);
-    after[0].dry = true;
-    after[1].dry = true;
-    let wishes = wishes(&after, &BOUNDS, &load);
-    assert!(ordinaries(&wishes) >= 3, "{wishes:?}");
+    after[0].spot_unavailable = true;
+    after[1].spot_unavailable = true;
+    let targets = compute_targets(&after, &BOUNDS, &load);
+    assert!(ordinaries(&targets) >= 3, "{targets:?}");
     // The cheapest data centre has most of them.
-    let cheapest = wishes[1].ordinary;
-    assert!(wishes.iter().all(|wish| wish.ordinary <= cheapest));
+    let cheapest = targets[1].ordinary;
+    assert!(targets.iter().all(|target| target.ordinary <= cheapest));
 }
 
 /// Guards against releasing replicas that carry the load before their
@@ -376,9 +378,9 @@
 fn no_replica_is_released_before_its_replacement_serves() {
     let load = load(4.0);
     let start = sites([0; 4], [5, 5, 4, 4]);
-    let wishes = wishes(&start, &BOUNDS, &load);
-    assert!(ordinaries(&wishes) >= 14, "{wishes:?}");
-    assert!(spots(&wishes).iter().all(|spot| *spot >= 5));
+    let targets = compute_targets(&start, &BOUNDS, &load);
+    assert!(ordinaries(&targets) >= 14, "{targets:?}");
+    assert!(spots(&targets).iter().all(|spot| *spot >= 5));
 }
 
 /// Guards against all caches being cold at once, as when all ordinary replicas
@@ -387,8 +389,8 @@
 fn under_load_replicas_are_released_a_few_at_a_time() {
     let load = load(4.0);
     let reclaimable_back = sites([5; 4], [4, 4, 3, 3]);
-    let wishes = wishes(&reclaimable_back, &BOUNDS, &load);
-    let released = 14 - ordinaries(&wishes);
+    let targets = compute_targets(&reclaimable_back, &BOUNDS, &load);
+    let released = 14 - ordinaries(&targets);
     assert!((1..=2).contains(&released), "{released} released at once");
 }
 
@@ -398,8 +400,9 @@
 #[test]
 fn the_target_does_not_grow_with_delays() {
     // The load is the same, however long the prompts wait to be computed.
-    let with_enough = wishes(&sites([5; 4], [0; 4]), &BOUNDS, &load(4.0));
-    let short = wishes(&sites([1; 4], [0; 4]), &BOUNDS, &load(4.0));
+    let with_enough =
+        compute_targets(&sites([5; 4], [0; 4]), &BOUNDS, &load(4.0));
+    let short = compute_targets(&sites([1; 4], [0; 4]), &BOUNDS, &load(4.0));
     assert_eq!(spots(&with_enough), spots(&short));
 }
 
@@ -408,8 +411,9 @@
 #[test]
 fn present_replicas_are_kept_before_any_load() {
     let load = Load::open(0, 18);
-    let wishes = wishes(&sites([0; 4], [5, 5, 4, 4]), &BOUNDS, &load);
-    assert!(spots(&wishes).iter().sum::<u32>() >= 18, "{wishes:?}");
+    let targets =
+        compute_targets(&sites([0; 4], [5, 5, 4, 4]), &BOUNDS, &load);
+    assert!(spots(&targets).iter().sum::<u32>() >= 18, "{targets:?}");
 }
 
 /// Guards against meeting the first rush with four of eighteen replicas, when
@@ -418,9 +422,9 @@
 #[test]
 fn replicas_that_announce_themselves_late_count() {
     let mut load = Load::open(0, 3);
-    load.note(500, Vec::new());
-    load.find(18);
-    load.note(1000, Vec::new());
+    load.record_sent(500, Vec::new());
+    load.record_initial_replicas(18);
+    load.record_sent(1000, Vec::new());
     assert!((load.peak() - Load::open(0, 18).peak()).abs() < 0.01);
 }
 
@@ -433,17 +437,17 @@
 #[test]
 fn replicas_whose_caches_reduce_the_load_are_kept() {
     let mut load = Load::open(0, 140);
-    let bounds = Bounds { most: 70, ..BOUNDS };
+    let bounds = Bounds { max_replicas: 70, ..BOUNDS };
     let mut spot = [40; 4];
     for second in 1..=60u64 {
         // The caches fill up: the load falls from 50 replicas' time to 20.
         let computing = if second < 20 { 50 } else { 20 };
         let sent = second.min(20) * 50 + second.saturating_sub(20) * computing;
-        load.note(second * 1000, vec![(1, sent * 1000)]);
-        let wishes = wishes(&sites(spot, [0; 4]), &bounds, &load);
-        for (at, wish) in wishes.iter().enumerate() {
-            assert!(wish.spot >= 37, "{second}: {wishes:?}");
-            spot[at] = wish.spot;
+        load.record_sent(second * 1000, vec![(1, sent * 1000)]);
+        let targets = compute_targets(&sites(spot, [0; 4]), &bounds, &load);
+        for (at, target) in targets.iter().enumerate() {
+            assert!(target.spot >= 37, "{second}: {targets:?}");
+            spot[at] = target.spot;
         }
     }
 }
@@ -455,16 +459,16 @@
 fn a_fluctuating_load_causes_few_orders() {
     let mut rng = StdRng::seed_from_u64(7);
     let mut load = Load::open(0, 140);
-    let bounds = Bounds { most: 70, ..BOUNDS };
+    let bounds = Bounds { max_replicas: 70, ..BOUNDS };
     let mut spot = [38; 4];
     let (mut orders, mut sent) = (0, 0);
     for half_second in 1..=120u64 {
         sent += rng.random_range(16_000..26_000_u64);
-        load.note(half_second * 500, vec![(1, sent)]);
-        let wishes = wishes(&sites(spot, [0; 4]), &bounds, &load);
-        for (at, wish) in wishes.iter().enumerate() {
-            orders += usize::from(wish.spot != spot[at]);
-            spot[at] = wish.spot;
+        load.record_sent(half_second * 500, vec![(1, sent)]);
+        let targets = compute_targets(&sites(spot, [0; 4]), &bounds, &load);
+        for (at, target) in targets.iter().enumerate() {
+            orders += usize::from(target.spot != spot[at]);
+            spot[at] = target.spot;
         }
     }
     assert!(orders <= 12, "{orders} orders in a minute");
@@ -476,21 +480,21 @@
 #[test]
 fn surplus_reclaimable_replicas_are_released_a_few_at_a_time() {
     let load = load(4.0);
-    let bounds = Bounds { most: 70, ..BOUNDS };
-    let wishes = wishes(&sites([60; 4], [0; 4]), &bounds, &load);
-    assert!(spots(&wishes).iter().all(|spot| (55..60).contains(spot)));
+    let bounds = Bounds { max_replicas: 70, ..BOUNDS };
+    let targets = compute_targets(&sites([60; 4], [0; 4]), &bounds, &load);
+    assert!(spots(&targets).iter().all(|spot| (55..60).contains(spot)));
 }
 
 /// Guards against releasing replicas on a change of leader: a leader that has
 /// just started has observed little of the load.
 #[test]
 fn a_node_that_has_just_started_releases_no_replicas() {
-    let mut load = Load::open(0, found(0, 160, 4));
-    load.note(500, vec![(1, 100)]);
-    load.note(5000, vec![(1, 2000)]);
-    let bounds = Bounds { most: 70, ..BOUNDS };
-    let wishes = wishes(&sites([50; 4], [0; 4]), &bounds, &load);
-    assert_eq!(spots(&wishes), [50; 4]);
+    let mut load = Load::open(0, estimate_initial_replicas(0, 160, 4));
+    load.record_sent(500, vec![(1, 100)]);
+    load.record_sent(5000, vec![(1, 2000)]);
+    let bounds = Bounds { max_replicas: 70, ..BOUNDS };
+    let targets = compute_targets(&sites([50; 4], [0; 4]), &bounds, &load);
+    assert_eq!(spots(&targets), [50; 4]);
 }
 
 /// Guards against half of the ordered replicas arriving six seconds late in
@@ -501,10 +505,10 @@
 #[test]
 fn a_target_fits_beside_ordinary_replicas_and_grows_as_they_go() {
     let load = Load::open(0, 140);
-    let bounds = Bounds { most: 70, lag_ms: 750.0, ..BOUNDS };
-    let before = wishes(&sites([0; 4], [35; 4]), &bounds, &load);
+    let bounds = Bounds { max_replicas: 70, lag_ms: 750.0, ..BOUNDS };
+    let before = compute_targets(&sites([0; 4], [35; 4]), &bounds, &load);
     assert_eq!(spots(&before), [35; 4]);
-    let after = wishes(&sites([35; 4], [0; 4]), &bounds, &load);
+    let after = compute_targets(&sites([35; 4], [0; 4]), &bounds, &load);
     assert!(spots(&after).iter().all(|spot| *spot > 35), "{after:?}");
 }
 
@@ -514,9 +518,11 @@
 #[test]
 fn a_longer_propagation_delay_needs_more_replicas() {
     let load = load(4.0);
-    let long_delay = Bounds { lag_ms: 750.0, most: 70, ..BOUNDS };
-    let no_delay = Bounds { most: 70, ..BOUNDS };
-    let each = |bounds| spots(&wishes(&sites([0; 4], [0; 4]), bounds, &load));
+    let long_delay = Bounds { lag_ms: 750.0, max_replicas: 70, ..BOUNDS };
+    let no_delay = Bounds { max_replicas: 70, ..BOUNDS };
+    let each = |bounds| {
+        spots(&compute_targets(&sites([0; 4], [0; 4]), bounds, &load))
+    };
     assert!(
         each(&long_delay)[0] * 10 >= each(&no_delay)[0] * 11,
         "{:?}",
@@ -525,8 +531,9 @@
     // The number of ordinary replicas does not depend on the delay.
     let short = sites([2; 4], [0; 4]);
     let mut short = short;
-    short.iter_mut().for_each(|site| site.dry = true);
-    let ordinary_count = |bounds| ordinaries(&wishes(&short, bounds, &load));
+    short.iter_mut().for_each(|site| site.spot_unavailable = true);
+    let ordinary_count =
+        |bounds| ordinaries(&compute_targets(&short, bounds, &load));
     assert_eq!(ordinary_count(&long_delay), ordinary_count(&no_delay));
 }
 
@@ -537,7 +544,7 @@
     for (count, sites) in [(18, 4), (140, 4), (140, 5), (10, 2)] {
         let kept = (count as f32 * 0.8).ceil() as usize;
         let each = kept.div_ceil(sites - 1);
-        let again = found(0, each * sites, sites);
+        let again = estimate_initial_replicas(0, each * sites, sites);
         assert!(again >= count, "{again} of {count} at {sites}");
         let more = (again as f32 * 0.8).ceil() as usize;
         assert_eq!(more.div_ceil(sites - 1), each, "{count} at {sites}");
@@ -548,10 +555,10 @@
 fn no_data_centre_exceeds_its_maximum() {
     for spot in 0..=10 {
         let mut short = sites([spot; 4], [3; 4]);
-        short[0].dry = true;
-        for wish in wishes(&short, &BOUNDS, &load(30.0)) {
-            assert!(wish.spot <= 10, "{wish:?}");
-            assert!(wish.ordinary + spot <= 10, "{wish:?}");
+        short[0].spot_unavailable = true;
+        for target in compute_targets(&short, &BOUNDS, &load(30.0)) {
+            assert!(target.spot <= 10, "{target:?}");
+            assert!(target.ordinary + spot <= 10, "{target:?}");
         }
     }
 }
