--- a/src/decide/moving.rs
+++ b/src/decide/moving.rs
@@ -20,7 +20,7 @@
         /// Pieces that the stream has delivered.
         pub pieces: u64,
         /// Maximum number of pieces that the stream may deliver.
-        pub most: u64,
+        pub max_pieces: u64,
         /// Time since the first piece, in ms.
         pub streaming_ms: u64,
     }
@@ -37,7 +37,8 @@
         return true;
     }
     let piece_ms = stream.streaming_ms as f32 / stream.pieces as f32;
-    let remaining_pieces = stream.most.saturating_sub(stream.pieces) as f32;
+    let remaining_pieces =
+        stream.max_pieces.saturating_sub(stream.pieces) as f32;
     remaining_pieces * piece_ms * STAY_MARGIN
         > (left_ms - MOVE_RESERVE_MS) as f32
 }
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -41,7 +41,7 @@
     }
 
     /// Records a success.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.saved_retries = (self.saved_retries + self.retries_per_success)
             .min(MAX_SAVED_RETRIES);
     }
@@ -101,14 +101,14 @@
     }
 
     /// Counts a first attempt.
-    pub fn sent(&mut self, now: u64) {
+    pub fn record_first_attempt(&mut self, now: u64) {
         self.slide(now);
         self.slices[(self.newest % SLICE_COUNT as u64) as usize].0 += 1;
     }
 
     /// Counts a retry and returns true if the bound allows one. `entries` is
     /// the number of serving entries.
-    pub fn repeat(&mut self, now: u64, entries: usize) -> bool {
+    pub fn try_retry(&mut self, now: u64, entries: usize) -> bool {
         self.slide(now);
         let first_attempts: u32 =
             self.slices.iter().map(|slice| slice.0).sum();
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -258,7 +258,7 @@
             match self.attempt(&endpoint, &choice).await {
                 Attempt::Whole => {
                     self.state.note_success(self.fingerprint);
-                    self.state.retries().succeeded();
+                    self.state.retries().record_success();
                     return Outcome::Finished;
                 }
                 Attempt::Stopped => return Outcome::Running,
@@ -387,7 +387,10 @@
             if let Some(left_ms) = leaving.take() {
                 let stream = Stream {
                     pieces: (self.record.len() - resumed_at) as u64,
-                    most: self.chat.most.saturating_sub(resumed_at as u64),
+                    max_pieces: self
+                        .chat
+                        .most
+                        .saturating_sub(resumed_at as u64),
                     streaming_ms: first_at
                         .map_or(0, |at| last_at.saturating_sub(at)),
                 };
--- a/src/entry/plain.rs
+++ b/src/entry/plain.rs
@@ -172,7 +172,7 @@
         note_end(state, &work.service.name, &choice, sent_at, &result);
         match result {
             Ok(answer) => {
-                state.retries().succeeded();
+                state.retries().record_success();
                 if answer.status.is_success() {
                     state.note_success(fingerprint);
                 }
@@ -332,7 +332,7 @@
     };
     let settlement = settlement(key, owner, record);
     settle_within(state, settlement, SETTLE_WAIT).await;
-    state.retries().succeeded();
+    state.retries().record_success();
     respond(answer)
 }
 
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -306,7 +306,7 @@
     /// Counts a first attempt at a service.
     pub fn record_first_attempt(&mut self, now: u64, service: &str) {
         if let Some(routed) = self.find(service) {
-            routed.repeats.sent(now);
+            routed.repeats.record_first_attempt(now);
         }
     }
 
@@ -319,7 +319,7 @@
         entries: usize,
     ) -> bool {
         self.find(service)
-            .is_some_and(|routed| routed.repeats.repeat(now, entries))
+            .is_some_and(|routed| routed.repeats.try_retry(now, entries))
     }
 
     /// Records that a replica began to answer, with the load that it
--- a/tests/all/decide.rs
+++ b/tests/all/decide.rs
@@ -343,7 +343,7 @@
     let mut budget = Budget::open(10, 1);
     while budget.wait_ms(1) == 0 {}
     for _ in 0..100 {
-        budget.succeeded();
+        budget.record_success();
     }
     let without_wait = (0..50).filter(|_| budget.wait_ms(1) == 0).count();
     assert!((9..=10).contains(&without_wait), "{without_wait}");
@@ -353,8 +353,11 @@
 
 #[test]
 fn a_stream_stays_only_if_it_ends_in_time_with_a_margin() {
-    let stream =
-        |pieces, most| Stream { pieces, most, streaming_ms: pieces * 20 };
+    let stream = |pieces, max_pieces| Stream {
+        pieces,
+        max_pieces,
+        streaming_ms: pieces * 20,
+    };
     assert!(!should_move(stream(50, 100), 5000));
     assert!(should_move(stream(50, 400), 5000));
     assert!(should_move(stream(99, 100), 400));
--- a/tests/all/limits.rs
+++ b/tests/all/limits.rs
@@ -284,10 +284,10 @@
             let at = rng.random_range(0..6);
             let busy = (now / 7000) % 3;
             if rng.random_range(0..3) >= busy {
-                windows[at].sent(now);
+                windows[at].record_first_attempt(now);
                 first_attempts.push(now);
             }
-            if rng.random_bool(0.5) && windows[at].repeat(now, 6) {
+            if rng.random_bool(0.5) && windows[at].try_retry(now, 6) {
                 retries.push(now);
             }
         }
