--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -1,7 +1,8 @@
 //! Compares routing policies in one system, on the users' workloads.
 //!
 //! ```text
-//! cargo bench --bench policy -- echipaj|roddur|herd [engines entries rate seconds]
+//! cargo bench --bench policy -- echipaj|roddur|herd \
+//!     [engines entries rate seconds]
 //! ```
 //!
 //! Starts control, entries and stand-in engines as processes. Activates one
--- a/src/decide/moving.rs
+++ b/src/decide/moving.rs
@@ -26,7 +26,6 @@
     }
 }
 
-///
 /// Returns true if the stream should move now.
 ///
 /// `left_ms` is the time until the endpoint stops, in ms.
--- a/src/decide/place.rs
+++ b/src/decide/place.rs
@@ -138,7 +138,6 @@
 }
 
 impl Load {
-    ///
     /// Starts from the replicas that are present, because no load has been
     /// measured yet.
     ///
@@ -213,7 +212,6 @@
     }
 }
 
-///
 /// Returns how many replicas the operators sized the deployment to, as
 /// estimated by a node that starts observing.
 ///
@@ -308,7 +306,6 @@
     (count as f32 * MAX_RELEASED_SHARE).ceil() as u32
 }
 
-///
 /// Returns the target share of a reclaimable replica's time spent on computing
 /// prompts.
 ///
--- a/src/decide/prefix.rs
+++ b/src/decide/prefix.rs
@@ -17,7 +17,6 @@
 pub const BLOCK_TOKENS: u32 = 64;
 /// Bytes of prompt in a block, at about four bytes a token.
 pub const BLOCK_BYTES: usize = 256;
-///
 /// Maximum number of blocks recorded for one replica.
 ///
 /// When a replica exceeds it, the older half of its blocks is evicted.
@@ -127,7 +126,6 @@
         self.retain(replica, |_| false);
     }
 
-    ///
     /// Calls `found` with each holder of a prefix and the number of blocks
     /// that it holds.
     ///
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -46,7 +46,6 @@
             .min(MAX_SAVED_RETRIES);
     }
 
-    ///
     /// Returns the wait before retry number `attempt`, counted from 1, in ms.
     ///
     /// Returns 0 while the budget lasts.
@@ -79,7 +78,6 @@
     pub window_ms: u64,
 }
 
-///
 /// Retries of one service at one entry, counted over a sliding window.
 ///
 /// Each entry allows itself the ratio of its own first attempts and an equal
--- a/src/decide/route/cost.rs
+++ b/src/decide/route/cost.rs
@@ -49,7 +49,6 @@
         chosen
     }
 
-    ///
     /// Draws one of the replicas whose cost is at most `limit`.
     ///
     /// Prefers the replicas with the fewest requests of this entry in flight,
@@ -80,7 +79,6 @@
         }
     }
 
-    ///
     /// Recomputes the load floor, by water-filling.
     ///
     /// Estimates how many requests the other entries have sent since the
@@ -147,7 +145,6 @@
         self.match_home_replica(request);
     }
 
-    ///
     /// Assumes that the prompt's home replica holds a part of it when no
     /// replica is known to hold at least half. The home replica is selected by
     /// a hash of the prompt and the replica.
@@ -246,7 +243,6 @@
             + (tokens - self.mean_others_pending_tokens) * weight
     }
 
-    ///
     /// Returns the predicted time to the first token, in ms.
     ///
     /// Unlike the cost, it contains no weights for price, distance or risk: it
@@ -289,7 +285,6 @@
         missing.min(request.tokens.saturating_sub(replica.matched_tokens))
     }
 
-    ///
     /// Returns the estimated number of requests that run or wait at a replica.
     ///
     /// This entry's own requests are known. The number of the other entries'
--- a/src/decide/route/mod.rs
+++ b/src/decide/route/mod.rs
@@ -261,7 +261,6 @@
         self.peers = peers as f32;
     }
 
-    ///
     /// Replaces the list of replicas.
     ///
     /// Replicas that were in the list before keep their state.
@@ -384,7 +383,6 @@
         self.replicas.iter().map(|replica| self.estimate(replica)).sum()
     }
 
-    ///
     /// Records a load that was measured `age_ms` ago.
     ///
     /// An age of 0 is for the load that comes with an answer.
@@ -409,7 +407,6 @@
             replica.recent_changes.iter().map(|(_, change)| change).sum();
     }
 
-    ///
     /// Records the other entries' requests at a replica: their number, and the
     /// prompt tokens that the replica has yet to compute for them.
     ///
@@ -520,7 +517,6 @@
         }
     }
 
-    ///
     /// Updates the time per prompt token from the time to a first piece.
     ///
     /// Waiting makes most samples too long, and nothing makes a sample too
@@ -608,7 +604,6 @@
         })
     }
 
-    ///
     /// Returns the cost of one replica as [`Pool::pick`] computes it.
     ///
     /// For tests that compare with a naive implementation.
@@ -625,7 +620,7 @@
             .map(|replica| self.cost(now, replica, request))
     }
 
-    // ---- Bookkeeping ------------------------------------------------------------
+    // ---- Bookkeeping -------------------------------------------------------
 
     fn assign(
         &mut self,
--- a/src/decide/route/weights.rs
+++ b/src/decide/route/weights.rs
@@ -5,14 +5,12 @@
 /// Weights of the parts of a replica's cost.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Weights {
-    ///
     /// Initial time to compute one prompt token, in ms.
     ///
     /// A pool adjusts it by the requests that it sends.
     pub token_ms: f32,
     /// Factor on the time to recompute prompt tokens that are not cached.
     pub recompute_factor: f32,
-    ///
     /// Initial time that a request holds its slot, in ms; adjusted by the
     /// requests that a pool sends.
     ///
--- a/tests/all/limits.rs
+++ b/tests/all/limits.rs
@@ -9,7 +9,7 @@
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
-// ---- Quotas ------------------------------------------------------------------
+// ---- Quotas ----------------------------------------------------------------
 
 const RATE: f64 = 1000.0;
 
@@ -268,7 +268,7 @@
     assert_eq!(meter.admit(wait + 1, allowance, 600, false), Ok(()));
 }
 
-// ---- Retry budgets -----------------------------------------------------------
+// ---- Retry budgets ---------------------------------------------------------
 
 /// In any window of ten seconds, the retries of all entries together stay
 /// within ratio and slack at any pattern of arrivals. Compared with a plain
@@ -309,7 +309,7 @@
     }
 }
 
-// ---- Placement ---------------------------------------------------------------
+// ---- Placement -------------------------------------------------------------
 
 const BOUNDS: Bounds =
     Bounds { min_replicas: 1, max_replicas: 10, has_spot: true, lag_ms: 0.0 };
