--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -1,7 +1,8 @@
 //! Compares routing policies in one system, on the users' workloads.
 //!
 //! ```text
-//! cargo bench --bench policy -- echipaj|roddur|herd [engines entries rate seconds]
+//! cargo bench --bench policy -- echipaj|roddur|herd \
+//!     [engines entries rate seconds]
 //! ```
 //!
 //! Starts control, entries and stand-in engines as processes. Activates one
@@ -25,7 +26,7 @@
 };
 
 use azuremount::{
-    decide::prefix::{BLOCK_TOKENS, blocks},
+    decide::prefix::{BLOCK_TOKENS, hash_blocks},
     entry::dispatch::{Call, Dispatcher},
     wire::{apply_outcome, change, outcome},
 };
@@ -339,7 +340,7 @@
         .iter()
         .map(|request| {
             let prompt = format!("user\n{}\n", request.prompt);
-            let all = blocks(prompt.as_bytes());
+            let all = hash_blocks(prompt.as_bytes());
             let repeated = all
                 .iter()
                 .filter(|block| !computed_blocks.insert(**block))
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -41,12 +41,11 @@
     }
 
     /// Records a success.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.saved_retries = (self.saved_retries + self.retries_per_success)
             .min(MAX_SAVED_RETRIES);
     }
 
-    ///
     /// Returns the wait before retry number `attempt`, counted from 1, in ms.
     ///
     /// Returns 0 while the budget lasts.
@@ -79,7 +78,6 @@
     pub window_ms: u64,
 }
 
-///
 /// Retries of one service at one entry, counted over a sliding window.
 ///
 /// Each entry allows itself the ratio of its own first attempts and an equal
@@ -101,14 +99,14 @@
     }
 
     /// Counts a first attempt.
-    pub fn sent(&mut self, now: u64) {
+    pub fn record_first_attempt(&mut self, now: u64) {
         self.slide(now);
         self.slices[(self.newest % SLICE_COUNT as u64) as usize].0 += 1;
     }
 
     /// Counts a retry and returns true if the bound allows one. `entries` is
     /// the number of serving entries.
-    pub fn repeat(&mut self, now: u64, entries: usize) -> bool {
+    pub fn try_retry(&mut self, now: u64, entries: usize) -> bool {
         self.slide(now);
         let first_attempts: u32 =
             self.slices.iter().map(|slice| slice.0).sum();
--- a/src/decide/route/mod.rs
+++ b/src/decide/route/mod.rs
@@ -92,14 +92,14 @@
         /// Price in thousandths of a cent an hour.
         pub price: u64,
         /// Whether it takes requests.
-        pub standing: Standing,
+        pub availability: Availability,
     }
 }
 
 common! {
     copy
     /// Whether a replica takes requests.
-    pub enum Standing {
+    pub enum Availability {
         /// It takes requests.
         Serving,
         /// It finishes its requests and is sent no new ones. Until it has
@@ -114,7 +114,7 @@
 
 common! {
     /// The properties of a request that routing uses.
-    pub struct Ask<'a> {
+    pub struct RouteRequest<'a> {
         /// Tokens in the prompt.
         pub tokens: u32,
         /// Block hashes of the prompt.
@@ -122,9 +122,9 @@
         /// Cumulative tokens at the end of each block; empty if all blocks
         /// have the same size. The blocks of a prompt that comes in small
         /// parts are far from full.
-        pub ends: &'a [u32],
+        pub block_ends: &'a [u32],
         /// Endpoints that the request must not be sent to: id and incarnation.
-        pub avoid: &'a [(String, u64)],
+        pub excluded: &'a [(String, u64)],
     }
 }
 
@@ -223,7 +223,7 @@
             policy,
             weights,
             replicas: Vec::new(),
-            index: Index::open(weights.blocks),
+            index: Index::open(weights.max_blocks_per_replica),
             rng: StdRng::seed_from_u64(seed),
             next_number: 0,
             next_serial: 0,
@@ -252,8 +252,8 @@
     }
 
     /// Sets the factor on the time to recompute prompt tokens.
-    pub fn set_recompute(&mut self, factor: f32) {
-        self.weights.recompute = factor;
+    pub fn set_recompute_factor(&mut self, factor: f32) {
+        self.weights.recompute_factor = factor;
     }
 
     /// Sets the number of other entries that route by the same policy.
@@ -261,7 +261,6 @@
         self.peers = peers as f32;
     }
 
-    ///
     /// Replaces the list of replicas.
     ///
     /// Replicas that were in the list before keep their state.
@@ -312,7 +311,7 @@
 
     /// Sets this entry's shares of the replicas' rate limits, sorted by
     /// replica. Replicas without a share have no rate limit.
-    pub fn set_limits(&mut self, now: u64, parts: &[Part]) {
+    pub fn set_rate_limits(&mut self, now: u64, parts: &[Part]) {
         for replica in &mut self.replicas {
             let found =
                 position(parts, &replica.id_hash, |part| &part.replica);
@@ -329,7 +328,7 @@
 
     /// Returns how many serving replicas have a rate limit, and the sum of
     /// these limits; `None` if no serving replica has one.
-    pub fn limited(&self) -> Option<(usize, f32)> {
+    pub fn rate_limit_totals(&self) -> Option<(usize, f32)> {
         let serving =
             self.replicas.iter().filter(|replica| replica.is_serving());
         let limits =
@@ -348,13 +347,18 @@
     }
 
     /// Updates the properties that may change while the list of replicas stays
-    /// the same: standing, slots and whether the VM is reclaimable, in the
+    /// the same: availability, slots and whether the VM is reclaimable, in the
     /// order of the replicas' ids.
-    pub fn set_standings(&mut self, standings: &[(Standing, u32, bool)]) {
-        for (replica, standing) in self.replicas.iter_mut().zip(standings) {
+    pub fn set_availabilities(
+        &mut self,
+        availabilities: &[(Availability, u32, bool)],
+    ) {
+        for (replica, availability) in
+            self.replicas.iter_mut().zip(availabilities)
+        {
             let identity = &mut replica.identity;
-            (identity.standing, identity.slots, identity.reclaimable) =
-                *standing;
+            (identity.availability, identity.slots, identity.reclaimable) =
+                *availability;
         }
     }
 
@@ -379,11 +383,10 @@
         self.replicas.iter().map(|replica| self.estimate(replica)).sum()
     }
 
-    ///
     /// Records a load that was measured `age_ms` ago.
     ///
     /// An age of 0 is for the load that comes with an answer.
-    pub fn report(
+    pub fn record_load(
         &mut self,
         now: u64,
         id: &str,
@@ -404,7 +407,6 @@
             replica.recent_changes.iter().map(|(_, change)| change).sum();
     }
 
-    ///
     /// Records the other entries' requests at a replica: their number, and the
     /// prompt tokens that the replica has yet to compute for them.
     ///
@@ -413,7 +415,7 @@
     /// ago, and to each new replica at once: of the requests of seventy
     /// entries, a fifth met six or more others on their replica within 0.3 s,
     /// where one in a hundred would by chance.
-    pub fn report_others(
+    pub fn record_others_load(
         &mut self,
         now: u64,
         id: &str,
@@ -422,13 +424,13 @@
         age_ms: u64,
     ) {
         if let Some(at) = self.find(id, 0) {
-            self.report_others_at(now, at, load, pending, age_ms);
+            self.record_others_load_at(now, at, load, pending, age_ms);
         }
     }
 
-    /// Like [`Pool::report_others`], for the replica at index `at` in the
+    /// Like [`Pool::record_others_load`], for the replica at index `at` in the
     /// order of ids.
-    pub fn report_others_at(
+    pub fn record_others_load_at(
         &mut self,
         now: u64,
         at: usize,
@@ -451,21 +453,31 @@
     }
 
     /// Handles a cache event: a replica has evicted blocks.
-    pub fn evicted(&mut self, id: &str, incarnation: u64, blocks: &[u64]) {
+    pub fn record_evicted(
+        &mut self,
+        id: &str,
+        incarnation: u64,
+        blocks: &[u64],
+    ) {
         if let Some(at) = self.find(id, incarnation) {
             self.index.remove(self.replicas[at].number, blocks);
         }
     }
 
     /// Handles a cache event: a replica has cached blocks.
-    pub fn cached(&mut self, id: &str, incarnation: u64, blocks: &[u64]) {
+    pub fn record_cached(
+        &mut self,
+        id: &str,
+        incarnation: u64,
+        blocks: &[u64],
+    ) {
         if let Some(at) = self.find(id, incarnation) {
             self.index.insert(self.replicas[at].number, blocks);
         }
     }
 
     /// Records blocks that other entries have sent to a replica.
-    pub fn sent_elsewhere(&mut self, id_hash: u64, blocks: &[u64]) {
+    pub fn record_sent_by_others(&mut self, id_hash: u64, blocks: &[u64]) {
         let found =
             position(&self.numbers_by_hash, &id_hash, |(hash, _)| hash);
         if let Ok(at) = found {
@@ -474,19 +486,23 @@
     }
 
     /// Selects a replica and counts the request as in flight there.
-    pub fn pick(&mut self, now: u64, ask: &Ask<'_>) -> Option<Choice> {
+    pub fn pick(
+        &mut self,
+        now: u64,
+        request: &RouteRequest<'_>,
+    ) -> Option<Choice> {
         let at = match self.policy {
-            Policy::Cost => self.pick_by_cost(now, ask),
-            Policy::Random => self.draw_where(ask, |_, _| true),
-            Policy::RoundRobin => self.pick_next_in_turn(ask),
-            Policy::LeastOutstanding => self.pick_least_outstanding(ask),
-            Policy::PowerOfTwo => self.pick_less_loaded_of_two(ask),
+            Policy::Cost => self.pick_by_cost(now, request),
+            Policy::Random => self.draw_where(request, |_, _| true),
+            Policy::RoundRobin => self.pick_next_in_turn(request),
+            Policy::LeastOutstanding => self.pick_least_outstanding(request),
+            Policy::PowerOfTwo => self.pick_less_loaded_of_two(request),
         }?;
-        Some(self.assign(now, at, ask))
+        Some(self.assign(now, at, request))
     }
 
     /// Records a piece of the answer to a request.
-    pub fn progress(&mut self, now: u64, ticket: Ticket, first: bool) {
+    pub fn record_progress(&mut self, now: u64, ticket: Ticket, first: bool) {
         let Some(replica) = self.by_number(ticket.number) else { return };
         let found = replica
             .last_progress
@@ -501,7 +517,6 @@
         }
     }
 
-    ///
     /// Updates the time per prompt token from the time to a first piece.
     ///
     /// Waiting makes most samples too long, and nothing makes a sample too
@@ -524,7 +539,7 @@
 
     /// Records that a request has ended; `held_ms` is the time that it held
     /// its slot, or `None` if it failed.
-    pub fn end(
+    pub fn record_end(
         &mut self,
         now: u64,
         ticket: Ticket,
@@ -563,7 +578,7 @@
     }
 
     /// Records that a request was not sent after all.
-    pub fn take_back(&mut self, ticket: Ticket, now: u64) {
+    pub fn cancel_unsent(&mut self, ticket: Ticket, now: u64) {
         self.abandon(ticket, now, false);
         let replica = self.by_number(ticket.number);
         if let Some(bucket) =
@@ -582,14 +597,13 @@
     /// Returns, for each replica, its id, the number of this entry's requests
     /// in flight there, and the prompt tokens that it has yet to compute for
     /// them.
-    pub fn own(&self) -> impl Iterator<Item = (&str, u32, u32)> {
+    pub fn own_loads(&self) -> impl Iterator<Item = (&str, u32, u32)> {
         self.replicas.iter().map(|replica| {
             let pending = replica.pending_tokens as u32;
             (replica.identity.id.as_str(), replica.own_in_flight, pending)
         })
     }
 
-    ///
     /// Returns the cost of one replica as [`Pool::pick`] computes it.
     ///
     /// For tests that compare with a naive implementation.
@@ -597,32 +611,38 @@
         &mut self,
         now: u64,
         id: &str,
-        ask: &Ask<'_>,
+        request: &RouteRequest<'_>,
     ) -> Option<f32> {
-        self.match_prefix(ask);
+        self.match_prefix(request);
         self.replicas
             .iter()
             .find(|replica| replica.identity.id == id)
-            .map(|replica| self.cost(now, replica, ask))
+            .map(|replica| self.cost(now, replica, request))
     }
 
-    // ---- Bookkeeping ------------------------------------------------------------
+    // ---- Bookkeeping -------------------------------------------------------
 
-    fn assign(&mut self, now: u64, at: usize, ask: &Ask<'_>) -> Choice {
+    fn assign(
+        &mut self,
+        now: u64,
+        at: usize,
+        request: &RouteRequest<'_>,
+    ) -> Choice {
         if self.policy != Policy::Cost {
-            self.match_prefix(ask);
+            self.match_prefix(request);
         }
-        let predicted_ms = self.first_token_ms(now, &self.replicas[at], ask);
-        let cached = self.replicas[at].matched_tokens.min(ask.tokens);
+        let predicted_ms =
+            self.first_token_ms(now, &self.replicas[at], request);
+        let cached = self.replicas[at].matched_tokens.min(request.tokens);
         let serial = self.next_serial;
         self.next_serial += 1;
         let source = self.fetch_source(at, cached);
         let fetched = source.map_or(0, |from| {
-            self.replicas[from].matched_tokens.min(ask.tokens) - cached
+            self.replicas[from].matched_tokens.min(request.tokens) - cached
         });
         let fetch_from =
             source.map(|from| self.replicas[from].identity.id.clone());
-        let tokens = ask.tokens - cached - fetched;
+        let tokens = request.tokens - cached - fetched;
         self.work_ms += f64::from(tokens as f32 * self.unloaded_token_ms);
         let replica = &mut self.replicas[at];
         replica.own_in_flight += 1;
@@ -641,14 +661,14 @@
             predicted_ms,
             ticket: Ticket { number, serial, tokens, begun_at: now },
         };
-        self.index.insert(number, ask.blocks);
+        self.index.insert(number, request.blocks);
         choice
     }
 
     /// Returns the index of the replica that holds most of the prompt, if
     /// fetching from it is worthwhile.
     fn fetch_source(&self, chosen: usize, cached: u32) -> Option<usize> {
-        self.weights.fetch_ms?;
+        self.weights.fetch_token_ms?;
         let (at, held_tokens) = self.best_holder()?;
         (at != chosen && held_tokens >= cached + MIN_FETCH_TOKENS)
             .then_some(at)
@@ -658,7 +678,7 @@
     /// be fetched from, with the tokens that it holds.
     pub(super) fn best_holder(&self) -> Option<(usize, u32)> {
         let sources = self.holders.iter().copied().filter(|(at, _)| {
-            self.replicas[*at].identity.standing != Standing::Silent
+            self.replicas[*at].identity.availability != Availability::Silent
         });
         sources.max_by_key(|(_, count)| *count)
     }
@@ -688,9 +708,9 @@
     }
 }
 
-fn is_avoided(replica: &Replica, ask: &Ask<'_>) -> bool {
+fn is_excluded(replica: &Replica, request: &RouteRequest<'_>) -> bool {
     let identity = &replica.identity;
-    ask.avoid.iter().any(|(id, incarnation)| {
+    request.excluded.iter().any(|(id, incarnation)| {
         *id == identity.id && *incarnation == identity.incarnation
     })
 }
--- a/src/entry/fleet.rs
+++ b/src/entry/fleet.rs
@@ -4,7 +4,9 @@
 
 use crate::{
     config::{Config, Kind},
-    decide::route::{Ask, Choice, Identity, Policy, Pool, Standing, Weights},
+    decide::route::{
+        Availability, Choice, Identity, Policy, Pool, RouteRequest, Weights,
+    },
     util::{position, random_id},
     wire::{Endpoint, Load},
 };
@@ -128,13 +130,15 @@
                     price: config
                         .class(&endpoint.class)
                         .map_or(0, |class| class.price),
-                    standing: Standing::Serving,
+                    availability: Availability::Serving,
                 })
                 .collect();
             let near = self.near.clone();
             let pool = self.pool_or_new(&service.name, service.kind);
             pool.set_policy(service.routing);
-            pool.set_recompute(service.recompute_percent as f32 / 100.0);
+            pool.set_recompute_factor(
+                service.recompute_percent as f32 / 100.0,
+            );
             pool.set_replicas(&near, &list);
         }
     }
@@ -150,9 +154,9 @@
         &mut self,
         now: u64,
         service: &str,
-        ask: &Ask<'_>,
+        request: &RouteRequest<'_>,
     ) -> Option<(Endpoint, Choice)> {
-        let choice = self.pool(service)?.pick(now, ask)?;
+        let choice = self.pool(service)?.pick(now, request)?;
         let endpoint = self.endpoint(&choice.id)?.clone();
         Some((endpoint, choice))
     }
@@ -165,7 +169,7 @@
             };
             let service = endpoint.service.clone();
             if let Some(pool) = self.pool(&service) {
-                pool.report(
+                pool.record_load(
                     now,
                     &load.endpoint,
                     load.incarnation,
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -33,7 +33,7 @@
     decide::{
         moving::{self, Stream},
         prefix,
-        route::{Ask, Choice},
+        route::{Choice, RouteRequest},
     },
     fingerprint,
     metrics::Labels,
@@ -218,7 +218,7 @@
             state,
             record,
             chat,
-            blocks: prefix::blocks(chat.prompt.as_bytes()),
+            blocks: prefix::hash_blocks(chat.prompt.as_bytes()),
             labels: Labels {
                 team: record.team.clone(),
                 service: record.service.clone(),
@@ -258,7 +258,7 @@
             match self.attempt(&endpoint, &choice).await {
                 Attempt::Whole => {
                     self.state.note_success(self.fingerprint);
-                    self.state.retries().succeeded();
+                    self.state.retries().record_success();
                     return Outcome::Finished;
                 }
                 Attempt::Stopped => return Outcome::Running,
@@ -311,11 +311,11 @@
     }
 
     fn pick(&self) -> Option<(Endpoint, Choice)> {
-        let ask = Ask {
+        let ask = RouteRequest {
             tokens: self.chat.prompt_tokens(),
-            ends: &[],
+            block_ends: &[],
             blocks: &self.blocks,
-            avoid: &self.avoid,
+            excluded: &self.avoid,
         };
         let now = self.state.now();
         self.state.fleet().pick(now, &self.record.service, &ask)
@@ -337,7 +337,7 @@
         };
         let mut fleet = self.state.fleet();
         if let Some(pool) = fleet.pool(&self.record.service) {
-            pool.end(now, choice.ticket, started, held);
+            pool.record_end(now, choice.ticket, started, held);
         }
         result
     }
@@ -387,7 +387,10 @@
             if let Some(left_ms) = leaving.take() {
                 let stream = Stream {
                     pieces: (self.record.len() - resumed_at) as u64,
-                    most: self.chat.most.saturating_sub(resumed_at as u64),
+                    max_pieces: self
+                        .chat
+                        .most
+                        .saturating_sub(resumed_at as u64),
                     streaming_ms: first_at
                         .map_or(0, |at| last_at.saturating_sub(at)),
                 };
@@ -486,7 +489,7 @@
         }
         let mut fleet = self.state.fleet();
         if let Some(pool) = fleet.pool(&self.record.service) {
-            pool.progress(now, choice.ticket, first);
+            pool.record_progress(now, choice.ticket, first);
         }
     }
 
@@ -494,7 +497,7 @@
         let now = self.state.now();
         let mut fleet = self.state.fleet();
         if let Some(pool) = fleet.pool(&self.record.service) {
-            pool.report(now, &choice.id, choice.incarnation, load, 0);
+            pool.record_load(now, &choice.id, choice.incarnation, load, 0);
         }
     }
 
--- a/src/entry/plain.rs
+++ b/src/entry/plain.rs
@@ -37,7 +37,7 @@
 };
 use crate::{
     config::Service,
-    decide::route::{Ask, Choice},
+    decide::route::{Choice, RouteRequest},
     fingerprint,
     http_server::{Request, Response},
     metrics::Labels,
@@ -172,7 +172,7 @@
         note_end(state, &work.service.name, &choice, sent_at, &result);
         match result {
             Ok(answer) => {
-                state.retries().succeeded();
+                state.retries().record_success();
                 if answer.status.is_success() {
                     state.note_success(fingerprint);
                 }
@@ -332,7 +332,7 @@
     };
     let settlement = settlement(key, owner, record);
     settle_within(state, settlement, SETTLE_WAIT).await;
-    state.retries().succeeded();
+    state.retries().record_success();
     respond(answer)
 }
 
@@ -447,7 +447,12 @@
     work: &Work,
     avoid: &[(String, u64)],
 ) -> Option<(Endpoint, Choice)> {
-    let ask = Ask { tokens: 0, blocks: &[], ends: &[], avoid };
+    let ask = RouteRequest {
+        tokens: 0,
+        blocks: &[],
+        block_ends: &[],
+        excluded: avoid,
+    };
     state.fleet().pick(state.now(), &work.service.name, &ask)
 }
 
@@ -477,14 +482,14 @@
     match result {
         Ok(answer) => {
             let held = now.saturating_sub(sent_at) as f32;
-            pool.end(now, choice.ticket, true, Some(held));
+            pool.record_end(now, choice.ticket, true, Some(held));
             let load = load_of(&answer.headers);
             if let Some(load) = load {
                 let (id, incarnation) = (&choice.id, choice.incarnation);
-                pool.report(now, id, incarnation, load, 0);
+                pool.record_load(now, id, incarnation, load, 0);
             }
         }
-        Err(_) => pool.end(now, choice.ticket, false, None),
+        Err(_) => pool.record_end(now, choice.ticket, false, None),
     }
 }
 
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -18,7 +18,8 @@
         rate_limit::Part,
         retry::{Bound, Window},
         route::{
-            Ask, Choice, Identity, Policy, Pool, Standing, Ticket, Weights,
+            Availability, Choice, Identity, Policy, Pool, RouteRequest,
+            Ticket, Weights,
         },
     },
     mesh::{
@@ -227,10 +228,10 @@
         &mut self,
         now: u64,
         service: &str,
-        ask: &Ask<'_>,
+        request: &RouteRequest<'_>,
     ) -> Option<Target> {
         let routed = self.find(service)?;
-        let choice: Choice = routed.pool.pick(now, ask)?;
+        let choice: Choice = routed.pool.pick(now, request)?;
         let address = routed.address(&choice.id)?;
         let fetch_from = choice.fetch_from.and_then(|id| routed.address(&id));
         Some(Target {
@@ -290,7 +291,9 @@
                 .iter_mut()
                 .find(|routed| name_hash(&routed.name) == part.service);
             if let Some(routed) = routed {
-                routed.pool.sent_elsewhere(part.replica, &cached_blocks(part));
+                routed
+                    .pool
+                    .record_sent_by_others(part.replica, &cached_blocks(part));
             }
         }
     }
@@ -303,7 +306,7 @@
     /// Counts a first attempt at a service.
     pub fn record_first_attempt(&mut self, now: u64, service: &str) {
         if let Some(routed) = self.find(service) {
-            routed.repeats.sent(now);
+            routed.repeats.record_first_attempt(now);
         }
     }
 
@@ -316,7 +319,7 @@
         entries: usize,
     ) -> bool {
         self.find(service)
-            .is_some_and(|routed| routed.repeats.repeat(now, entries))
+            .is_some_and(|routed| routed.repeats.try_retry(now, entries))
     }
 
     /// Records that a replica began to answer, with the load that it
@@ -329,9 +332,9 @@
         load: Option<u32>,
     ) {
         let Some(routed) = self.find(service) else { return };
-        routed.pool.progress(now, target.ticket, true);
+        routed.pool.record_progress(now, target.ticket, true);
         if let Some(load) = load {
-            routed.pool.report(now, &target.replica, 0, load, 0);
+            routed.pool.record_load(now, &target.replica, 0, load, 0);
         }
         let at =
             position(&routed.places, &target.replica, |place| &place.replica);
@@ -348,7 +351,7 @@
         ticket: Ticket,
     ) {
         if let Some(routed) = self.find(service) {
-            routed.pool.progress(now, ticket, false);
+            routed.pool.record_progress(now, ticket, false);
         }
     }
 
@@ -364,13 +367,18 @@
         let Some(routed) = self.find(service) else { return };
         match outcome {
             Outcome::Completed { held_ms } => {
-                routed.pool.end(now, ticket, started, Some(held_ms as f32));
+                routed.pool.record_end(
+                    now,
+                    ticket,
+                    started,
+                    Some(held_ms as f32),
+                );
             }
             Outcome::Failed | Outcome::Disconnected => {
-                routed.pool.end(now, ticket, started, None);
+                routed.pool.record_end(now, ticket, started, None);
             }
             Outcome::Abandoned => routed.pool.abandon(ticket, now, started),
-            Outcome::NotSent => routed.pool.take_back(ticket, now),
+            Outcome::NotSent => routed.pool.cancel_unsent(ticket, now),
         }
     }
 
@@ -378,7 +386,7 @@
     /// replica.
     pub fn set_rate_limits(&mut self, now: u64, parts: &[Part]) {
         for service in &mut self.services {
-            service.pool.set_limits(now, parts);
+            service.pool.set_rate_limits(now, parts);
         }
     }
 
@@ -386,7 +394,7 @@
     /// no room now; returns `None` if no replica has announced a rate limit.
     pub fn enqueue(&mut self, now: u64, service: &str) -> Option<Queue> {
         let routed = self.find(service)?;
-        let (replicas, rate) = routed.pool.limited()?;
+        let (replicas, rate) = routed.pool.rate_limit_totals()?;
         let own = rate / (routed.pool.peers() + 1.0);
         let step_ms = (1000.0 / own.max(f32::MIN_POSITIVE)) as u64;
         let end = routed.queue_end.max(now).saturating_add(step_ms);
@@ -409,7 +417,8 @@
 
     /// Returns this node's requests in flight, for the other nodes.
     pub fn in_flight(&self) -> Vec<Under> {
-        let pools = self.services.iter().flat_map(|routed| routed.pool.own());
+        let pools =
+            self.services.iter().flat_map(|routed| routed.pool.own_loads());
         pools
             .filter(|(_, count, _)| *count > 0)
             .map(|(id, count, pending)| Under {
@@ -520,29 +529,29 @@
         // than every replica down.
         let mut fresh = replicas.clone().filter(is_fresh);
         let none_fresh = fresh.all(|replica| replica.state != State::Ready);
-        let standing = |replica: &table::Replica| {
-            standing(replica, none_fresh || is_fresh(&replica))
+        let availability = |replica: &table::Replica| {
+            availability(replica, none_fresh || is_fresh(&replica))
         };
         // The list of replicas seldom changes. Comparing the numeric keys
         // avoids handling a thousand ids.
         let places = self.places.iter().map(|place| place.key);
         let is_same = places.eq(replicas.clone().map(key));
         if is_same {
-            let standings: Vec<(Standing, u32, bool)> = replicas
+            let availabilities: Vec<(Availability, u32, bool)> = replicas
                 .clone()
                 .map(|replica| {
                     (
-                        standing(replica),
+                        availability(replica),
                         replica.says.slots,
                         replica.says.reclaimable,
                     )
                 })
                 .collect();
-            self.pool.set_standings(&standings);
+            self.pool.set_availabilities(&availabilities);
         } else {
             let identities: Vec<Identity> = replicas
                 .clone()
-                .map(|replica| identity(replica, standing(replica)))
+                .map(|replica| identity(replica, availability(replica)))
                 .collect();
             self.pool.set_replicas(near, &identities);
             self.set_places(replicas.clone(), memory);
@@ -554,7 +563,8 @@
             // known yet.
             if now >= replica.since + lag_ms {
                 let (load, pending) = loads.at(replica.hash());
-                self.pool.report_others_at(now, at, load, pending, lag_ms);
+                self.pool
+                    .record_others_load_at(now, at, load, pending, lag_ms);
             }
         }
     }
@@ -581,7 +591,8 @@
             if at.is_err() {
                 let hash = replica.hash();
                 for cached in memory.parts_of(hash) {
-                    self.pool.sent_elsewhere(hash, &cached_blocks(cached));
+                    self.pool
+                        .record_sent_by_others(hash, &cached_blocks(cached));
                 }
             }
         }
@@ -599,15 +610,15 @@
     (replica.hash(), replica.says.ip, replica.says.port)
 }
 
-fn standing(replica: &table::Replica, is_heard: bool) -> Standing {
+fn availability(replica: &table::Replica, is_heard: bool) -> Availability {
     match replica.state {
-        State::Ready if is_heard => Standing::Serving,
-        State::Ready => Standing::Silent,
-        State::Leaving | State::Gone => Standing::Leaving,
+        State::Ready if is_heard => Availability::Serving,
+        State::Ready => Availability::Silent,
+        State::Leaving | State::Gone => Availability::Leaving,
     }
 }
 
-fn identity(replica: &table::Replica, standing: Standing) -> Identity {
+fn identity(replica: &table::Replica, availability: Availability) -> Identity {
     let says = &replica.says;
     Identity {
         id: says.id.clone(),
@@ -616,7 +627,7 @@
         slots: says.slots,
         reclaimable: says.reclaimable,
         price: 0,
-        standing,
+        availability,
     }
 }
 
@@ -630,8 +641,10 @@
             batch_ms: BATCH_DELAY_MS,
             reclaim_ms: 0.0,
             block_tokens: BLOCK_TOKENS,
-            fetch_ms: engine.fetch_ms,
-            blocks: (engine.cache_tokens / u64::from(BLOCK_TOKENS)) as u32,
+            fetch_token_ms: engine.fetch_ms,
+            max_blocks_per_replica: (engine.cache_tokens
+                / u64::from(BLOCK_TOKENS))
+                as u32,
             ..defaults
         },
         None => Weights {
--- a/tests/all/decide.rs
+++ b/tests/all/decide.rs
@@ -6,9 +6,9 @@
 use azuremount::decide::{
     admit::{Arrival, Gate, Room},
     moving::{Stream, should_move},
-    prefix::{BLOCK_TOKENS, Index, blocks},
+    prefix::{BLOCK_TOKENS, Index, hash_blocks},
     retry::Budget,
-    route::{Ask, Identity, Policy, Pool, Standing, Weights},
+    route::{Availability, Identity, Policy, Pool, RouteRequest, Weights},
 };
 use azuremount::gateway::parts::{block_ends, prompt_blocks};
 use rand::{RngExt, SeedableRng, rngs::StdRng};
@@ -22,7 +22,7 @@
             slots: 4,
             reclaimable: number % 3 == 0,
             price: 0,
-            standing: Standing::Serving,
+            availability: Availability::Serving,
         })
         .collect()
 }
@@ -34,9 +34,12 @@
     pool
 }
 
-fn ask<'a>(blocks: &'a [u64], avoid: &'a [(String, u64)]) -> Ask<'a> {
+fn request<'a>(
+    blocks: &'a [u64],
+    excluded: &'a [(String, u64)],
+) -> RouteRequest<'a> {
     let tokens = blocks.len() as u32 * BLOCK_TOKENS + 20;
-    Ask { tokens, blocks, ends: &[], avoid }
+    RouteRequest { tokens, blocks, block_ends: &[], excluded }
 }
 
 /// The scan with its reused buffers must select a replica whose cost is within
@@ -50,7 +53,7 @@
         let prompts: Vec<Vec<u64>> = (0..6)
             .map(|number| {
                 let text = format!("packet {number} ").repeat(300);
-                blocks(text.as_bytes())
+                hash_blocks(text.as_bytes())
             })
             .collect();
         let mut in_flight = Vec::new();
@@ -60,18 +63,19 @@
             match rng.random_range(0..10) {
                 0..6 => {
                     let number = rng.random_range(0..6_u64);
-                    let avoid = [(format!("gpu-{number:02}"), 1)];
+                    let excluded = [(format!("gpu-{number:02}"), 1)];
                     let prompt = &prompts[rng.random_range(0..6)];
-                    let ask = ask(prompt, &avoid);
+                    let request = request(prompt, &excluded);
                     // The costs are read first, because a pick changes them.
                     // This pick recomputes the load floor if that is due, so
                     // that the next pick does not.
-                    let first = pool.pick(now, &ask).expect("a replica");
-                    pool.end(now, first.ticket, true, Some(100.0));
+                    let first = pool.pick(now, &request).expect("a replica");
+                    pool.record_end(now, first.ticket, true, Some(100.0));
                     let costs: Vec<(String, f32)> = identities(8)
                         .into_iter()
                         .map(|identity| {
-                            let cost = pool.cost_of(now, &identity.id, &ask);
+                            let cost =
+                                pool.cost_of(now, &identity.id, &request);
                             (identity.id, cost.expect("a cost"))
                         })
                         .collect();
@@ -79,8 +83,8 @@
                         .iter()
                         .map(|(_, cost)| *cost)
                         .fold(f32::INFINITY, f32::min);
-                    let choice = pool.pick(now, &ask).expect("a replica");
-                    assert_ne!(choice.id, avoid[0].0, "seed {seed}");
+                    let choice = pool.pick(now, &request).expect("a replica");
+                    assert_ne!(choice.id, excluded[0].0, "seed {seed}");
                     let (_, cost) = costs
                         .iter()
                         .find(|(id, _)| *id == choice.id)
@@ -94,13 +98,13 @@
                 6..9 if !in_flight.is_empty() => {
                     let at = rng.random_range(0..in_flight.len());
                     let ticket = in_flight.swap_remove(at);
-                    pool.end(now, ticket, true, Some(500.0));
+                    pool.record_end(now, ticket, true, Some(500.0));
                 }
                 _ => {
                     let number = rng.random_range(0..8);
                     let load = rng.random_range(0..6);
                     let id = format!("gpu-{number:02}");
-                    pool.report(now, &id, 1, load, 300);
+                    pool.record_load(now, &id, 1, load, 300);
                 }
             }
         }
@@ -166,11 +170,12 @@
             if id == "gpu-02" && now > 1000 || *until > now {
                 return true;
             }
-            pool.end(now, *ticket, true, Some(300.0));
+            pool.record_end(now, *ticket, true, Some(300.0));
             false
         });
         if rng.random_range(0..100) < 3 {
-            let choice = pool.pick(now, &ask(&[], &[])).expect("a replica");
+            let choice =
+                pool.pick(now, &request(&[], &[])).expect("a replica");
             if now > 3000 {
                 picks += 1;
                 picks_of_silent += u32::from(choice.id == "gpu-02");
@@ -186,12 +191,12 @@
 #[test]
 fn a_late_report_does_not_replace_a_newer_load() {
     let mut pool = pool(2, 0);
-    pool.report(1000, "gpu-00", 1, 0, 0);
-    pool.report(1000, "gpu-01", 1, 9, 0);
-    pool.report(1100, "gpu-00", 1, 9, 1000);
-    pool.report(1100, "gpu-01", 1, 0, 1000);
+    pool.record_load(1000, "gpu-00", 1, 0, 0);
+    pool.record_load(1000, "gpu-01", 1, 9, 0);
+    pool.record_load(1100, "gpu-00", 1, 9, 1000);
+    pool.record_load(1100, "gpu-01", 1, 0, 1000);
     for _ in 0..3 {
-        let choice = pool.pick(1200, &ask(&[], &[])).expect("a replica");
+        let choice = pool.pick(1200, &request(&[], &[])).expect("a replica");
         assert_eq!(choice.id, "gpu-00");
     }
 }
@@ -211,16 +216,16 @@
         for now in 0..1000 {
             if now % 40 == 0 {
                 let choice =
-                    pool.pick(now, &ask(&[], &[])).expect("a replica");
-                pool.end(now, choice.ticket, true, Some(300.0));
+                    pool.pick(now, &request(&[], &[])).expect("a replica");
+                pool.record_end(now, choice.ticket, true, Some(300.0));
             }
         }
         for number in 0..8 {
             let load = if number == 4 { 0 } else { 2 };
             let id = format!("gpu-{number:02}");
-            pool.report(1000, &id, 1, load, 1000);
+            pool.record_load(1000, &id, 1, load, 1000);
         }
-        let choice = pool.pick(1100, &ask(&[], &[])).expect("a replica");
+        let choice = pool.pick(1100, &request(&[], &[])).expect("a replica");
         *counts.entry(choice.id).or_insert(0) += 1;
     }
     assert!(counts.len() >= 4, "{counts:?}");
@@ -231,14 +236,14 @@
 /// prompt to the same replica.
 #[test]
 fn a_prompt_has_the_same_home_replica_at_every_entry() {
-    let prompt = blocks("one contract ".repeat(600).as_bytes());
+    let prompt = hash_blocks("one contract ".repeat(600).as_bytes());
     let home_replicas: BTreeSet<String> = (0..11)
         .map(|entry| {
             let weights = Weights::default();
             let mut pool = Pool::open(Policy::Cost, weights, entry);
             pool.set_replicas("a", &identities(8));
-            let ask = ask(&prompt, &[]);
-            pool.pick(0, &ask).expect("a replica").id
+            let request = request(&prompt, &[]);
+            pool.pick(0, &request).expect("a replica").id
         })
         .collect();
     assert_eq!(home_replicas.len(), 1, "{home_replicas:?}");
@@ -338,7 +343,7 @@
     let mut budget = Budget::open(10, 1);
     while budget.wait_ms(1) == 0 {}
     for _ in 0..100 {
-        budget.succeeded();
+        budget.record_success();
     }
     let without_wait = (0..50).filter(|_| budget.wait_ms(1) == 0).count();
     assert!((9..=10).contains(&without_wait), "{without_wait}");
@@ -348,8 +353,11 @@
 
 #[test]
 fn a_stream_stays_only_if_it_ends_in_time_with_a_margin() {
-    let stream =
-        |pieces, most| Stream { pieces, most, streaming_ms: pieces * 20 };
+    let stream = |pieces, max_pieces| Stream {
+        pieces,
+        max_pieces,
+        streaming_ms: pieces * 20,
+    };
     assert!(!should_move(stream(50, 100), 5000));
     assert!(should_move(stream(50, 400), 5000));
     assert!(should_move(stream(99, 100), 400));
@@ -362,17 +370,17 @@
 #[test]
 fn a_briefly_silent_replica_keeps_its_cached_blocks() {
     let mut pool = pool(4, 0);
-    let prompt = blocks("a long packet ".repeat(300).as_bytes());
-    let first = pool.pick(0, &ask(&prompt, &[])).unwrap();
-    pool.end(100, first.ticket, true, Some(100.0));
+    let prompt = hash_blocks("a long packet ".repeat(300).as_bytes());
+    let first = pool.pick(0, &request(&prompt, &[])).unwrap();
+    pool.record_end(100, first.ticket, true, Some(100.0));
     let mut silenced = identities(4);
     for identity in &mut silenced {
         if identity.id == first.id {
-            identity.standing = Standing::Silent;
+            identity.availability = Availability::Silent;
         }
     }
     pool.set_replicas("a", &silenced);
-    let other = pool.pick(200, &ask(&prompt, &[])).unwrap();
+    let other = pool.pick(200, &request(&prompt, &[])).unwrap();
     assert_ne!(other.id, first.id, "request sent to a silent replica");
     assert_eq!(other.fetch_from, None, "fetch from a silent replica");
     pool.abandon(other.ticket, 200, false);
@@ -380,7 +388,7 @@
     let costs =
         identities(4).into_iter().filter(|identity| identity.id != other.id);
     let cheapest = costs.min_by_key(|identity| {
-        pool.cost_of(300, &identity.id, &ask(&prompt, &[])).unwrap() as u32
+        pool.cost_of(300, &identity.id, &request(&prompt, &[])).unwrap() as u32
     });
     assert_eq!(cheapest.unwrap().id, first.id);
 }
@@ -398,18 +406,23 @@
     assert_eq!(blocks.len(), ends.len());
     let weights = Weights {
         block_tokens: 512,
-        fetch_ms: Some(0.002),
+        fetch_token_ms: Some(0.002),
         token_ms: 0.02,
         ..Weights::default()
     };
     let mut pool = Pool::open(Policy::Cost, weights, 1);
     pool.set_replicas("a", &identities(2));
-    let ask =
-        Ask { tokens: 1460, blocks: &blocks[..2], ends: &ends, avoid: &[] };
-    let first = pool.pick(0, &ask).unwrap();
-    let avoid = [(first.id.clone(), 1)];
-    let ask = Ask { blocks: &blocks, avoid: &avoid, ..ask };
-    let second = pool.pick(1, &ask).unwrap();
+    let request = RouteRequest {
+        tokens: 1460,
+        blocks: &blocks[..2],
+        block_ends: &ends,
+        excluded: &[],
+    };
+    let first = pool.pick(0, &request).unwrap();
+    let excluded = [(first.id.clone(), 1)];
+    let request =
+        RouteRequest { blocks: &blocks, excluded: &excluded, ..request };
+    let second = pool.pick(1, &request).unwrap();
     assert_eq!(second.fetch_from, None);
     assert!((second.predicted_ms - 1460.0 * 0.02).abs() < 1.0, "{second:?}");
 }
@@ -464,7 +477,7 @@
     }
 
     fn report(&mut self, entry: usize) {
-        let own = self.pools[entry].own();
+        let own = self.pools[entry].own_loads();
         self.reports[entry] = own.map(|(_, n, left)| (n, left)).collect();
     }
 
@@ -476,7 +489,7 @@
                 (sum.0 + reports[replica].0, sum.1 + reports[replica].1)
             });
             let id = self.identities[replica].id.clone();
-            self.pools[entry].report_others(
+            self.pools[entry].record_others_load(
                 now,
                 &id,
                 sum.0,
@@ -529,10 +542,15 @@
             let is_due = *at <= now;
             match (is_due, first) {
                 (true, true) => {
-                    entries.pools[*entry].progress(now, *ticket, true);
+                    entries.pools[*entry].record_progress(now, *ticket, true);
                 }
                 (true, false) => {
-                    entries.pools[*entry].end(now, *ticket, true, Some(900.0));
+                    entries.pools[*entry].record_end(
+                        now,
+                        *ticket,
+                        true,
+                        Some(900.0),
+                    );
                 }
                 _ => {}
             }
@@ -543,8 +561,13 @@
         }
         let entry = rng.random_range(0..Entries::COUNT);
         let tokens = [200, 2000, 8000][rng.random_range(0..3)];
-        let ask = Ask { tokens, blocks: &[], ends: &[], avoid: &[] };
-        let choice = entries.pools[entry].pick(now, &ask).unwrap();
+        let request = RouteRequest {
+            tokens,
+            blocks: &[],
+            block_ends: &[],
+            excluded: &[],
+        };
+        let choice = entries.pools[entry].pick(now, &request).unwrap();
         let at = entries.index_of(&choice.id);
         let started_at = entries.idle_at[at].max(now as f32);
         entries.idle_at[at] = started_at + tokens as f32 / 51.0;
