--- a/src/control/raft/election.rs
+++ b/src/control/raft/election.rs
@@ -1,28 +1,30 @@
-//! Standing, voting, leading, stepping down.
+//! Elections: pre-votes, votes, taking over and giving up leadership.
 
 use rand::RngExt;
 
-use super::{Identity, Leadership, Node, Role};
+use super::{Identity, LeaderState, Node, Role};
 use crate::wire::{VoteReply, VoteRequest, envelope::Body};
 
 impl Node {
-    pub(super) fn stand(&mut self, now: u64, pre: bool) {
-        self.draw_election(now);
+    /// Starts a pre-vote round, or an election in a new term, if this member
+    /// is a voter.
+    pub(super) fn start_election(&mut self, now: u64, pre_vote: bool) {
+        self.reset_election_timer(now);
         if !self.voters().any(|voter| voter == self.me) {
             return;
         }
         self.leader = None;
-        let term = if pre {
+        let term = if pre_vote {
             self.term + 1
         } else {
             self.term += 1;
-            self.vote = Some(self.me);
-            self.hard_changed = true;
+            self.voted_for = Some(self.me);
+            self.hard_state_changed = true;
             self.term
         };
-        self.role = Role::Candidate { pre, votes: vec![self.me] };
+        self.role = Role::Candidate { pre_vote, votes: vec![self.me] };
         let request = VoteRequest {
-            pre,
+            pre: pre_vote,
             last_index: self.last_index(),
             last_term: self.last_term(),
         };
@@ -36,15 +38,15 @@
     }
 
     pub(super) fn count_votes(&mut self, now: u64) {
-        let Role::Candidate { pre, votes } = &self.role else { return };
-        let pre = *pre;
-        if !self.quorum_of(|member| votes.contains(&member)) {
+        let Role::Candidate { pre_vote, votes } = &self.role else { return };
+        let pre_vote = *pre_vote;
+        if !self.is_quorum(|member| votes.contains(&member)) {
             return;
         }
-        if pre {
-            self.stand(now, false);
+        if pre_vote {
+            self.start_election(now, false);
         } else {
-            self.lead(now);
+            self.become_leader(now);
         }
     }
 
@@ -55,8 +57,9 @@
         term: u64,
         request: VoteRequest,
     ) {
-        // A member that a cut kept away would otherwise come back with a
-        // higher term and depose a leader that everybody else hears.
+        // Without this check, a member that returns from a network partition
+        // with a higher term would depose a leader that the other members
+        // still hear.
         let hears_leader = self.is_leader()
             || self.heard_leader_at.is_some_and(|at| {
                 now < at + self.timing.election && self.leader.is_some()
@@ -68,24 +71,24 @@
             }
             return;
         }
-        let current = (request.last_term, request.last_index)
+        let is_up_to_date = (request.last_term, request.last_index)
             >= (self.last_term(), self.last_index());
         if request.pre {
-            let granted = term > self.term && current;
+            let granted = term > self.term && is_up_to_date;
             let reply = VoteReply { pre: true, granted };
-            let echoed = if granted { term } else { self.term };
-            self.send(from, echoed, Body::VoteReply(reply));
+            let reply_term = if granted { term } else { self.term };
+            self.send(from, reply_term, Body::VoteReply(reply));
             return;
         }
         if term > self.term {
             self.become_follower(now, term, None);
         }
-        let free = self.vote.is_none_or(|vote| vote == from);
-        let granted = term == self.term && current && free;
+        let vote_available = self.voted_for.is_none_or(|vote| vote == from);
+        let granted = term == self.term && is_up_to_date && vote_available;
         if granted {
-            self.vote = Some(from);
-            self.hard_changed = true;
-            self.draw_election(now);
+            self.voted_for = Some(from);
+            self.hard_state_changed = true;
+            self.reset_election_timer(now);
         }
         let reply = VoteReply { pre: false, granted };
         self.send(from, self.term, Body::VoteReply(reply));
@@ -104,14 +107,14 @@
             }
             return;
         }
-        let wanted = match &self.role {
-            Role::Candidate { pre: true, .. } => self.term + 1,
-            Role::Candidate { pre: false, .. } => self.term,
+        let expected_term = match &self.role {
+            Role::Candidate { pre_vote: true, .. } => self.term + 1,
+            Role::Candidate { pre_vote: false, .. } => self.term,
             Role::Follower | Role::Leader(_) => return,
         };
-        if let Role::Candidate { pre, votes } = &mut self.role
-            && term == wanted
-            && reply.pre == *pre
+        if let Role::Candidate { pre_vote, votes } = &mut self.role
+            && term == expected_term
+            && reply.pre == *pre_vote
             && !votes.contains(&from)
         {
             votes.push(from);
@@ -119,20 +122,21 @@
         }
     }
 
-    pub(super) fn lead(&mut self, now: u64) {
+    pub(super) fn become_leader(&mut self, now: u64) {
         self.leader = Some(self.me.id);
-        self.role = Role::Leader(Box::new(Leadership {
+        self.role = Role::Leader(Box::new(LeaderState {
             progress: Vec::new(),
             round: 0,
-            sent: Vec::new(),
-            heartbeat_at: now,
+            sent_rounds: Vec::new(),
+            heartbeat_due_at: now,
             reads: Vec::new(),
-            opening: self.last_index() + 1,
-            replaced: Vec::new(),
+            term_start_index: self.last_index() + 1,
+            new_incarnations: Vec::new(),
             joining: Vec::new(),
         }));
-        self.follow_members(now);
-        // Entries of earlier terms commit only below one of this term.
+        self.track_members(now);
+        // Entries of earlier terms are committed only together with a later
+        // entry of the current term.
         self.append_entry(self.term, Vec::new());
         self.broadcast(now);
     }
@@ -143,30 +147,36 @@
         term: u64,
         leader: Option<u64>,
     ) {
-        if let Role::Leader(leadership) = &mut self.role {
-            let reads = leadership.reads.drain(..).map(|read| read.token);
+        if let Role::Leader(leader_state) = &mut self.role {
+            let reads = leader_state.reads.drain(..).map(|read| read.token);
             self.output.refused_reads.extend(reads);
         }
         if term > self.term {
             self.term = term;
-            self.vote = None;
-            self.hard_changed = true;
+            self.voted_for = None;
+            self.hard_state_changed = true;
         }
         self.role = Role::Follower;
         self.leader = leader;
-        self.draw_election(now);
+        self.reset_election_timer(now);
     }
 
-    pub(super) fn draw_election(&mut self, now: u64) {
-        let wait = self.timing.election;
-        self.election_at = now + self.rng.random_range(wait..2 * wait);
+    pub(super) fn reset_election_timer(&mut self, now: u64) {
+        let min_wait = self.timing.election;
+        self.election_due_at =
+            now + self.rng.random_range(min_wait..2 * min_wait);
     }
 
-    pub(super) fn holds_quorum_or_is_opening(&self, now: u64) -> bool {
-        let Role::Leader(leadership) = &self.role else { return false };
-        self.quorum_of(|member| {
+    /// Whether a majority answered a round sent within the last election
+    /// timeout.
+    ///
+    /// A member that this leader has just started to track counts as having
+    /// answered.
+    pub(super) fn has_recent_quorum(&self, now: u64) -> bool {
+        let Role::Leader(leader_state) = &self.role else { return false };
+        self.is_quorum(|member| {
             member == self.me
-                || leadership.progress.iter().any(|progress| {
+                || leader_state.progress.iter().any(|progress| {
                     progress.member == member
                         && now < progress.confirmed_at + self.timing.election
                 })
--- a/src/control/raft/follower.rs
+++ b/src/control/raft/follower.rs
@@ -1,4 +1,5 @@
-//! A follower's side of replication: what it takes, what it answers.
+//! A follower's side of replication: storing entries and snapshots, and
+//! acknowledging them to the leader.
 
 use super::{Identity, Node};
 use crate::wire::{
@@ -6,7 +7,9 @@
 };
 
 impl Node {
-    /// Takes the sender as leader if its term allows; false refuses it.
+    /// Recognizes the sender as leader unless its term is outdated.
+    ///
+    /// If the term is outdated, sends a failure reply and returns false.
     pub(super) fn accept_leader(
         &mut self,
         now: u64,
@@ -38,9 +41,9 @@
             return;
         }
         let previous = request.previous_index;
-        let fits = previous < self.base.0
+        let log_matches = previous < self.base.0
             || self.term_at(previous) == Some(request.previous_term);
-        if !fits {
+        if !log_matches {
             let hint = previous.saturating_sub(1).min(self.last_index());
             let reply = AppendReply {
                 success: false,
@@ -50,26 +53,27 @@
             self.send(from, self.term, Body::AppendReply(reply));
             return;
         }
-        let matched = previous + request.entries.len() as u64;
+        let matched_index = previous + request.entries.len() as u64;
         for entry in request.entries {
-            self.take_entry(entry);
+            self.store_entry(entry);
         }
-        self.commit = self.commit.max(request.commit.min(matched));
+        self.commit_index =
+            self.commit_index.max(request.commit.min(matched_index));
         let reply = AppendReply {
             success: true,
-            match_index: matched,
+            match_index: matched_index,
             round: request.round,
         };
         self.send(from, self.term, Body::AppendReply(reply));
     }
 
-    pub(super) fn take_entry(&mut self, entry: LogEntry) {
+    pub(super) fn store_entry(&mut self, entry: LogEntry) {
         if entry.index <= self.base.0 {
             return;
         }
         match self.term_at(entry.index) {
             Some(term) if term == entry.term => return,
-            Some(_) => self.truncate(entry.index),
+            Some(_) => self.truncate_from(entry.index),
             None => {}
         }
         if entry.index == self.last_index() + 1 {
@@ -77,10 +81,10 @@
         }
     }
 
-    pub(super) fn truncate(&mut self, from: u64) {
+    pub(super) fn truncate_from(&mut self, from: u64) {
         self.entries.truncate((from - 1 - self.base.0) as usize);
         self.output.entries.retain(|entry| entry.index < from);
-        self.persisted = self.persisted.min(from - 1);
+        self.persisted_index = self.persisted_index.min(from - 1);
         self.memberships.retain(|(index, _)| *index < from);
     }
 
@@ -96,15 +100,15 @@
         }
         let Some(snapshot) = request.snapshot else { return };
         let index = snapshot.index;
-        if index > self.commit {
+        if index > self.commit_index {
             self.base = (index, snapshot.term);
             self.entries.clear();
             self.output.entries.clear();
-            self.commit = index;
-            self.handed_out = index;
-            self.persisted = index;
+            self.commit_index = index;
+            self.returned_index = index;
+            self.persisted_index = index;
             self.snapshot = Some(snapshot.clone());
-            self.find_memberships();
+            self.rebuild_memberships();
             self.output.install = Some(snapshot);
         }
         let reply = AppendReply {
--- a/src/control/raft/leader.rs
+++ b/src/control/raft/leader.rs
@@ -1,7 +1,9 @@
-//! The leader's side of replication: what goes out, what is committed.
+//! The leader's side of replication: sending entries and snapshots,
+//! advancing the commit index and confirming reads.
 
 use super::{
-    BYTES_PER_APPEND, ENTRIES_PER_APPEND, Identity, Node, Progress, Role,
+    Identity, MAX_BYTES_PER_APPEND, MAX_ENTRIES_PER_APPEND, Node, Progress,
+    Role,
 };
 use crate::wire::{
     AppendReply, AppendRequest, LogEntry, Member, SnapshotRequest,
@@ -9,86 +11,89 @@
 };
 
 impl Node {
-    pub(super) fn follow_members(&mut self, now: u64) {
+    /// Tracks the progress of exactly the members in the newest list.
+    pub(super) fn track_members(&mut self, now: u64) {
         let members: Vec<Identity> =
             self.members().iter().map(Identity::from).collect();
-        let next = self.last_index() + 1;
+        let next_index = self.last_index() + 1;
         let me = self.me;
-        let Role::Leader(leadership) = &mut self.role else { return };
-        leadership.progress.retain(|old| members.contains(&old.member));
-        leadership.replaced.retain(|new| !members.contains(new));
-        leadership
+        let Role::Leader(leader_state) = &mut self.role else { return };
+        leader_state.progress.retain(|old| members.contains(&old.member));
+        leader_state.new_incarnations.retain(|new| !members.contains(new));
+        leader_state
             .joining
             .retain(|new| !members.contains(&Identity::from(new)));
         for member in members {
             let known =
-                leadership.progress.iter().any(|old| old.member == member);
+                leader_state.progress.iter().any(|old| old.member == member);
             if member == me || known {
                 continue;
             }
-            leadership.progress.push(Progress {
+            leader_state.progress.push(Progress {
                 member,
-                next,
-                matched: 0,
-                round: 0,
-                // Gives a new leader one election's time to be heard.
+                next_index,
+                matched_index: 0,
+                acked_round: 0,
+                // Gives the member one election timeout to answer before it
+                // counts against the leader's quorum.
                 confirmed_at: now,
-                snapshot_at: None,
+                snapshot_sent_at: None,
             });
         }
     }
 
     pub(super) fn broadcast(&mut self, now: u64) {
         let heartbeat = self.timing.heartbeat;
-        let Role::Leader(leadership) = &mut self.role else { return };
-        leadership.round += 1;
-        leadership.heartbeat_at = now + heartbeat;
-        let round = leadership.round;
-        leadership.sent.push((round, now));
-        if leadership.sent.len() > 1024 {
-            leadership.sent.drain(..512);
+        let Role::Leader(leader_state) = &mut self.role else { return };
+        leader_state.round += 1;
+        leader_state.heartbeat_due_at = now + heartbeat;
+        let round = leader_state.round;
+        leader_state.sent_rounds.push((round, now));
+        if leader_state.sent_rounds.len() > 1024 {
+            leader_state.sent_rounds.drain(..512);
         }
-        for at in 0..leadership.progress.len() {
-            self.replicate(now, at);
+        for pos in 0..leader_state.progress.len() {
+            self.replicate(now, pos);
         }
     }
 
-    pub(super) fn replicate(&mut self, now: u64, at: usize) {
-        let last = self.last_index();
+    pub(super) fn replicate(&mut self, now: u64, pos: usize) {
+        let last_index = self.last_index();
         let base = self.base;
-        let commit = self.commit;
+        let commit = self.commit_index;
         let election = self.timing.election;
-        let Role::Leader(leadership) = &mut self.role else { return };
-        let round = leadership.round;
-        let progress = &mut leadership.progress[at];
+        let Role::Leader(leader_state) = &mut self.role else { return };
+        let round = leader_state.round;
+        let progress = &mut leader_state.progress[pos];
         let member = progress.member;
-        if progress.next <= base.0 {
-            let waiting = progress
-                .snapshot_at
-                .is_some_and(|sent| now < sent + 2 * election);
-            if waiting {
+        if progress.next_index <= base.0 {
+            let snapshot_in_flight = progress
+                .snapshot_sent_at
+                .is_some_and(|sent_at| now < sent_at + 2 * election);
+            if snapshot_in_flight {
                 return;
             }
-            progress.snapshot_at = Some(now);
+            progress.snapshot_sent_at = Some(now);
             let request =
                 SnapshotRequest { snapshot: self.snapshot.clone(), round };
             self.send(member, self.term, Body::SnapshotRequest(request));
             return;
         }
-        let previous = progress.next - 1;
-        let low = (previous - base.0) as usize;
+        let previous = progress.next_index - 1;
+        let start = (previous - base.0) as usize;
         let mut bytes = 0;
-        let entries: Vec<LogEntry> = self.entries[low..]
+        let entries: Vec<LogEntry> = self.entries[start..]
             .iter()
-            .take(ENTRIES_PER_APPEND)
+            .take(MAX_ENTRIES_PER_APPEND)
             .take_while(|entry| {
                 let first = bytes == 0;
                 bytes += entry.payload.len() + 1;
-                first || bytes < BYTES_PER_APPEND
+                first || bytes < MAX_BYTES_PER_APPEND
             })
             .cloned()
             .collect();
-        progress.next = (previous + entries.len() as u64 + 1).min(last + 1);
+        progress.next_index =
+            (previous + entries.len() as u64 + 1).min(last_index + 1);
         let request = AppendRequest {
             previous_index: previous,
             previous_term: self.term_at(previous).unwrap_or(0),
@@ -110,71 +115,78 @@
             self.become_follower(now, term, None);
             return;
         }
-        let last = self.last_index();
-        let Role::Leader(leadership) = &mut self.role else { return };
-        let at = leadership
+        let last_index = self.last_index();
+        let Role::Leader(leader_state) = &mut self.role else { return };
+        let pos = leader_state
             .progress
             .iter()
             .position(|progress| progress.member == from);
-        let (Some(at), true) = (at, term == self.term) else { return };
-        let sent = leadership
-            .sent
+        let (Some(pos), true) = (pos, term == self.term) else { return };
+        let sent_at = leader_state
+            .sent_rounds
             .binary_search_by_key(&reply.round, |(round, _)| *round)
             .ok()
-            .map(|found| leadership.sent[found].1);
-        let progress = &mut leadership.progress[at];
-        if let Some(sent) = sent
-            && reply.round > progress.round
+            .map(|found| leader_state.sent_rounds[found].1);
+        let progress = &mut leader_state.progress[pos];
+        if let Some(sent_at) = sent_at
+            && reply.round > progress.acked_round
         {
-            progress.round = reply.round;
-            progress.confirmed_at = sent;
+            progress.acked_round = reply.round;
+            progress.confirmed_at = sent_at;
         }
         if reply.success {
-            progress.matched = progress.matched.max(reply.match_index);
-            progress.next = progress.next.max(progress.matched + 1);
-            progress.snapshot_at = None;
+            progress.matched_index =
+                progress.matched_index.max(reply.match_index);
+            progress.next_index =
+                progress.next_index.max(progress.matched_index + 1);
+            progress.snapshot_sent_at = None;
         } else {
-            // A late refusal of an append that was since repeated must not
-            // take `next` below what is known to match.
-            let hint = reply.match_index.max(progress.matched);
-            progress.next = progress.next.min(hint + 1).max(1);
+            // A delayed failure reply to an append that has since been
+            // retried must not move `next_index` below the entries that are
+            // known to match.
+            let hint = reply.match_index.max(progress.matched_index);
+            progress.next_index = progress.next_index.min(hint + 1).max(1);
         }
-        let more = progress.next <= last && progress.snapshot_at.is_none();
+        let has_more = progress.next_index <= last_index
+            && progress.snapshot_sent_at.is_none();
         self.advance_commit();
-        self.answer_reads();
-        if more {
-            self.replicate(now, at);
+        self.confirm_reads();
+        if has_more {
+            self.replicate(now, pos);
         }
     }
 
-    pub(super) fn on_replaced(&mut self, from: Identity) {
+    pub(super) fn on_wrong_incarnation(&mut self, from: Identity) {
         let known =
             self.members().iter().any(|member| Identity::from(member) == from);
-        let Role::Leader(leadership) = &mut self.role else { return };
-        if !known && !leadership.replaced.contains(&from) {
-            // Only the newest incarnation of a member counts.
-            leadership.replaced.retain(|other| other.id != from.id);
-            leadership.replaced.push(from);
+        let Role::Leader(leader_state) = &mut self.role else { return };
+        if !known && !leader_state.new_incarnations.contains(&from) {
+            // Only the newest incarnation of a member is kept.
+            leader_state.new_incarnations.retain(|other| other.id != from.id);
+            leader_state.new_incarnations.push(from);
         }
     }
 
-    /// Remembers who asked to be taken in; see [`Node::due_membership`].
+    /// Records a process that asks to join; see [`Node::due_membership`].
     pub(super) fn on_join(&mut self, from: Identity, address: String) {
         let members = self.members();
-        let known = members.iter().any(|one| Identity::from(one) == from);
-        let renewed = members.iter().any(|one| one.id == from.id);
-        let Role::Leader(leadership) = &mut self.role else { return };
+        let known =
+            members.iter().any(|member| Identity::from(member) == from);
+        let has_new_incarnation =
+            members.iter().any(|member| member.id == from.id);
+        let Role::Leader(leader_state) = &mut self.role else { return };
         if known {
             return;
         }
-        if renewed {
-            // Its disk was lost: the old incarnation has to go first.
-            leadership.replaced.retain(|other| other.id != from.id);
-            leadership.replaced.push(from);
+        if has_new_incarnation {
+            // The member lost its disk, so its old incarnation has to be
+            // replaced first.
+            leader_state.new_incarnations.retain(|other| other.id != from.id);
+            leader_state.new_incarnations.push(from);
             return;
         }
-        leadership.joining.retain(|other| other.id != from.id);
-        leadership.joining.push(Member {
+        leader_state.joining.retain(|other| other.id != from.id);
+        leader_state.joining.push(Member {
             id: from.id,
             incarnation: from.incarnation,
             address,
@@ -183,39 +195,40 @@
     }
 
     pub(super) fn advance_commit(&mut self) {
-        let Role::Leader(leadership) = &self.role else { return };
+        let Role::Leader(leader_state) = &self.role else { return };
         let mut candidate = self.last_index();
-        while candidate > self.commit {
+        while candidate > self.commit_index {
             if self.term_at(candidate) != Some(self.term) {
                 return;
             }
-            let held = self.quorum_of(|member| {
+            let replicated = self.is_quorum(|member| {
                 if member == self.me {
-                    return self.persisted >= candidate;
+                    return self.persisted_index >= candidate;
                 }
-                leadership.progress.iter().any(|progress| {
-                    progress.member == member && progress.matched >= candidate
+                leader_state.progress.iter().any(|progress| {
+                    progress.member == member
+                        && progress.matched_index >= candidate
                 })
             });
-            if held {
-                self.commit = candidate;
+            if replicated {
+                self.commit_index = candidate;
                 return;
             }
             candidate -= 1;
         }
     }
 
-    pub(super) fn answer_reads(&mut self) {
-        let Role::Leader(leadership) = &self.role else { return };
-        let confirmed: Vec<u64> = leadership
+    pub(super) fn confirm_reads(&mut self) {
+        let Role::Leader(leader_state) = &self.role else { return };
+        let confirmed: Vec<u64> = leader_state
             .reads
             .iter()
             .filter(|read| {
-                self.quorum_of(|member| {
+                self.is_quorum(|member| {
                     member == self.me
-                        || leadership.progress.iter().any(|progress| {
+                        || leader_state.progress.iter().any(|progress| {
                             progress.member == member
-                                && progress.round >= read.round
+                                && progress.acked_round >= read.round
                         })
                 })
             })
@@ -224,8 +237,8 @@
         if confirmed.is_empty() {
             return;
         }
-        let Role::Leader(leadership) = &mut self.role else { return };
-        leadership.reads.retain(|read| !confirmed.contains(&read.token));
+        let Role::Leader(leader_state) = &mut self.role else { return };
+        leader_state.reads.retain(|read| !confirmed.contains(&read.token));
         self.output.reads.extend(confirmed);
     }
 }
--- a/src/control/raft/log.rs
+++ b/src/control/raft/log.rs
@@ -1,4 +1,4 @@
-//! The log itself, its member lists, and what a quorum is.
+//! The log, the member lists in it, and the quorum rule.
 
 use prost::Message;
 
@@ -15,7 +15,7 @@
     }
 
     pub(super) fn push_entry(&mut self, entry: LogEntry) {
-        if let Some(members) = membership_of(&entry.payload) {
+        if let Some(members) = decode_membership(&entry.payload) {
             self.memberships.push((entry.index, members));
         }
         self.output.entries.push(entry.clone());
@@ -26,15 +26,16 @@
         if index == self.base.0 {
             return Some(self.base.1);
         }
-        let at = index.checked_sub(self.base.0 + 1)?;
-        self.entries.get(at as usize).map(|entry| entry.term)
+        let position = index.checked_sub(self.base.0 + 1)?;
+        self.entries.get(position as usize).map(|entry| entry.term)
     }
 
     pub(super) fn last_term(&self) -> u64 {
         self.entries.last().map_or(self.base.1, |entry| entry.term)
     }
 
-    pub(super) fn find_memberships(&mut self) {
+    /// Collects the member lists in the snapshot and the log anew.
+    pub(super) fn rebuild_memberships(&mut self) {
         self.memberships.clear();
         if let Some(snapshot) = &self.snapshot
             && let Some(membership) = &snapshot.membership
@@ -43,19 +44,21 @@
             self.memberships.push((snapshot.index, members));
         }
         for entry in &self.entries {
-            if let Some(members) = membership_of(&entry.payload) {
+            if let Some(members) = decode_membership(&entry.payload) {
                 self.memberships.push((entry.index, members));
             }
         }
     }
 
-    pub(super) fn may_change_members(&self) -> bool {
-        let Role::Leader(leadership) = &self.role else { return false };
-        let last = self.memberships.last().map_or(0, |(index, _)| *index);
-        // Before an entry of its own term has committed, a leader may not
-        // know of a member change that its forerunner committed. Two such
-        // changes, each by one voter, can have quorums that do not meet.
-        self.commit >= leadership.opening && self.commit >= last
+    pub(super) fn can_change_members(&self) -> bool {
+        let Role::Leader(leader_state) = &self.role else { return false };
+        let last_change =
+            self.memberships.last().map_or(0, |(index, _)| *index);
+        // Until an entry of its own term is committed, a leader may not know
+        // of a member change that its predecessor committed. Two such
+        // changes, of one voter each, can have quorums that don't overlap.
+        self.commit_index >= leader_state.term_start_index
+            && self.commit_index >= last_change
     }
 
     pub(super) fn voters(&self) -> impl Iterator<Item = Identity> + '_ {
@@ -63,10 +66,14 @@
         voters.map(Identity::from)
     }
 
-    pub(super) fn quorum_of(&self, has: impl Fn(Identity) -> bool) -> bool {
+    /// Whether `predicate` holds for a majority of the voters.
+    pub(super) fn is_quorum(
+        &self,
+        predicate: impl Fn(Identity) -> bool,
+    ) -> bool {
         let total = self.voters().count();
-        let having = self.voters().filter(|&voter| has(voter)).count();
-        total > 0 && having > total / 2
+        let matching = self.voters().filter(|&voter| predicate(voter)).count();
+        total > 0 && matching > total / 2
     }
 
     pub(super) fn send(&mut self, to: Identity, term: u64, body: Body) {
@@ -81,12 +88,12 @@
     }
 }
 
-pub(super) fn membership_payload(members: Vec<Member>) -> Vec<u8> {
+pub(super) fn encode_membership(members: Vec<Member>) -> Vec<u8> {
     let kind = change::Kind::Membership(Membership { members });
     Change::new(kind).encode_to_vec()
 }
 
-fn membership_of(payload: &[u8]) -> Option<Vec<Member>> {
+fn decode_membership(payload: &[u8]) -> Option<Vec<Member>> {
     let change = Change::decode(payload).ok()?;
     match change.kind? {
         change::Kind::Membership(list) => Some(list.members),
--- a/src/control/raft/mod.rs
+++ b/src/control/raft/mod.rs
@@ -1,26 +1,27 @@
-//! The rules of the replicated log, apart from any I/O.
+//! The Raft protocol of the replicated log, without I/O.
 //!
-//! These are Raft's rules with pre-vote, check-quorum, learners, one-at-a-time
-//! member changes and read-index. A [`Node`] has no clock, socket, disk or
-//! randomness of its own: its driver passes in the time, messages and a seed,
-//! and carries out what [`Node::output`] hands back, in this order:
+//! Implements Raft with pre-vote, check-quorum, learners, one-at-a-time member
+//! changes and read-index. A [`Node`] has no clock, socket, disk or source of
+//! randomness of its own. Its driver passes in the time, messages and a seed,
+//! and processes what [`Node::output`] returns in this order:
 //!
-//! 1. make `hard`, `install` and `entries` last (one sync for all of them);
+//! 1. write `hard`, `install` and `entries` to disk (one sync for all);
 //! 2. only then send `messages`;
 //! 3. call [`Node::persisted`], then apply what [`Node::committed`] returns.
 //!
 //! Sending before the sync is the classic way to lose an acknowledged change:
-//! a follower acknowledges, loses power, and comes back without the entry.
+//! a follower acknowledges an entry, loses power and restarts without it.
 //!
 //! # Incarnations
 //!
-//! A member is named by id *and* incarnation; the incarnation is drawn at
-//! random when a data folder is first made. Every message is addressed to an
-//! incarnation, and a process refuses what is meant for another one. So a VM
-//! that comes back with an empty disk can't vote in the name of the one that
-//! has forgotten its vote. It answers "wrong incarnation"; the leader then
-//! replaces the old voter with the new one as a learner, and makes that a
-//! voter when it has caught up.
+//! A member is identified by its id *and* its incarnation, a random number
+//! drawn when its data folder is created. Every message is addressed to an
+//! incarnation, and a process answers a message for any other incarnation with
+//! "wrong incarnation" instead of processing it. So a VM that comes back with
+//! an empty disk can't vote under its old incarnation, whose vote it has
+//! forgotten. On such an answer the leader replaces the old voter by a learner
+//! with the new incarnation, and makes the learner a voter when it has caught
+//! up.
 
 mod election;
 mod follower;
@@ -29,31 +30,35 @@
 
 use rand::{SeedableRng, rngs::StdRng};
 
-use self::log::membership_payload;
+use self::log::encode_membership;
 use crate::{
     util::common,
     wire::{Envelope, HardState, LogEntry, Member, Snapshot, envelope::Body},
 };
 
-/// How many entries one append carries at most.
-const ENTRIES_PER_APPEND: usize = 128;
-/// How many payload bytes one append carries at most, past its first entry.
-const BYTES_PER_APPEND: usize = 512 * 1024;
-/// A learner is made a voter when it lacks fewer entries than this.
+/// Maximum number of entries in one append.
+const MAX_ENTRIES_PER_APPEND: usize = 128;
+/// Maximum payload size of one append, in bytes.
+///
+/// The first entry is sent even if it is larger.
+const MAX_BYTES_PER_APPEND: usize = 512 * 1024;
+/// A member has caught up when it lacks fewer committed entries than this.
+///
+/// Only such a learner is made a voter, and only such a voter is healthy.
 const CAUGHT_UP_ENTRIES: u64 = 16;
-/// A member that was silent for this long may be removed, in ms.
+/// Time without a reply after which a member may be removed, in ms.
 ///
-/// Longer than a VM that freezes or restarts stays away as a rule (a few
-/// seconds), so that a removal mostly means a VM that is gone for good.
-const RETIRE_MS: u64 = 8000;
+/// Longer than a VM is usually unavailable when it freezes or restarts (a few
+/// seconds), so that mostly VMs that are permanently lost are removed.
+const REMOVAL_TIMEOUT_MS: u64 = 8000;
 
 common! {
     copy
-    /// Who a member is: its id and the incarnation of its data folder.
+    /// Identifies a member: its id and the incarnation of its data folder.
     pub struct Identity {
-        /// From the settings.
+        /// From the settings, or derived from the member's address.
         pub id: u64,
-        /// Random, made with the data folder.
+        /// A random number drawn when the data folder is created.
         pub incarnation: u64,
     }
 }
@@ -66,128 +71,136 @@
 
 common! {
     copy
-    /// The times that the rules go by, in milliseconds.
+    /// Heartbeat interval and election timeout, in ms.
     pub struct Timing {
-        /// Between two rounds of an idle leader.
+        /// Interval between two rounds of an idle leader, in ms.
         pub heartbeat: u64,
-        /// The shortest silence after which a member stands for election.
+        /// Minimum election timeout, in ms.
         ///
-        /// Each wait is drawn from this to twice this.
+        /// Each timeout is drawn at random between this and twice this.
         pub election: u64,
     }
 }
 
-/// What a node remembers when it starts.
+/// The state that a node restores from disk when it starts.
 #[derive(Clone, Debug, Default)]
 pub struct Saved {
-    /// Term and vote.
+    /// Term, vote and commit index.
     pub hard: HardState,
     /// The newest snapshot.
     pub snapshot: Option<Snapshot>,
-    /// The entries behind the snapshot.
+    /// The entries after the snapshot.
     pub entries: Vec<LogEntry>,
 }
 
-/// What the driver has to carry out, in the order the module head gives.
+/// What the driver has to do, in the order given in the module docs.
 #[derive(Debug, Default)]
 pub struct Output {
-    /// Term and vote to make last.
+    /// Term, vote and commit index to write to disk.
     pub hard: Option<HardState>,
-    /// A snapshot to put in place of the whole log.
+    /// A snapshot that replaces the whole log.
     pub install: Option<Snapshot>,
-    /// Entries to make last; one whose index is taken replaces the tail.
+    /// Entries to write to disk.
+    ///
+    /// An entry whose index is already in the log replaces the log from that
+    /// index on.
     pub entries: Vec<LogEntry>,
-    /// Messages to send once the above has lasted.
+    /// Messages to send once the fields above are on disk.
     pub messages: Vec<Envelope>,
-    /// Reads that may now be answered: their tokens.
+    /// Tokens of reads that may now be answered.
     pub reads: Vec<u64>,
-    /// Reads that no longer can be: their tokens.
+    /// Tokens of reads that failed because this node no longer leads.
     pub refused_reads: Vec<u64>,
 }
 
-/// Why a proposal was not taken. It has not been appended anywhere.
+/// Why a proposal or read was refused. A refused proposal is in no log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// Another member leads, or none does.
+    /// This node is not the leader.
     NotLeader {
-        /// The id of the leader, as far as known.
+        /// The id of the leader, if known.
         leader: Option<u64>,
     },
-    /// A member change is under way, or the term has committed nothing yet.
+    /// A member change is not committed yet, or the leader has not yet
+    /// committed an entry of its own term.
     ChangePending,
 }
 
 #[derive(Debug)]
 struct Progress {
     member: Identity,
-    next: u64,
-    matched: u64,
-    /// The newest round that it echoed.
-    round: u64,
-    /// When that round was sent, by this node's clock.
+    next_index: u64,
+    matched_index: u64,
+    /// The newest round that the member has acknowledged; 0 if none.
+    acked_round: u64,
+    /// Time at which that round was sent, by this node's clock.
+    ///
+    /// Until the first acknowledgement, the time at which this node began to
+    /// track the member.
     confirmed_at: u64,
-    /// When a snapshot was last sent to it.
-    snapshot_at: Option<u64>,
+    /// Time at which a snapshot was sent that is not acknowledged yet.
+    snapshot_sent_at: Option<u64>,
 }
 
 #[derive(Debug)]
-struct Read {
+struct PendingRead {
     token: u64,
     round: u64,
 }
 
 #[derive(Debug)]
-struct Leadership {
+struct LeaderState {
     progress: Vec<Progress>,
     round: u64,
-    /// When each of the last rounds went out, oldest first.
-    sent: Vec<(u64, u64)>,
-    heartbeat_at: u64,
-    reads: Vec<Read>,
-    /// The index of the empty entry that opened the term.
-    opening: u64,
-    /// Members that answered under a new incarnation.
-    replaced: Vec<Identity>,
-    /// Processes that asked to be taken in.
+    /// The latest rounds with the time each was sent at, oldest first.
+    sent_rounds: Vec<(u64, u64)>,
+    heartbeat_due_at: u64,
+    reads: Vec<PendingRead>,
+    /// Index of the empty entry that this leader appended first.
+    term_start_index: u64,
+    /// Members that answered or asked to join under a new incarnation.
+    new_incarnations: Vec<Identity>,
+    /// Processes that asked to join and are in no member list.
     joining: Vec<Member>,
 }
 
 #[derive(Debug)]
 enum Role {
     Follower,
-    Candidate { pre: bool, votes: Vec<Identity> },
-    Leader(Box<Leadership>),
+    Candidate { pre_vote: bool, votes: Vec<Identity> },
+    Leader(Box<LeaderState>),
 }
 
-/// One member's view of the replicated log.
+/// One member's protocol state and copy of the log.
 #[derive(Debug)]
 pub struct Node {
     me: Identity,
     timing: Timing,
     rng: StdRng,
     term: u64,
-    vote: Option<Identity>,
+    voted_for: Option<Identity>,
     /// Index and term of the last entry that the snapshot covers.
     base: (u64, u64),
     entries: Vec<LogEntry>,
     /// Each member list in the log with its index, oldest first.
     memberships: Vec<(u64, Vec<Member>)>,
-    commit: u64,
-    handed_out: u64,
-    persisted: u64,
+    commit_index: u64,
+    /// Index of the last entry that [`Node::committed`] has returned.
+    returned_index: u64,
+    persisted_index: u64,
     role: Role,
     leader: Option<u64>,
     heard_leader_at: Option<u64>,
-    election_at: u64,
+    election_due_at: u64,
     snapshot: Option<Snapshot>,
     output: Output,
-    hard_changed: bool,
+    hard_state_changed: bool,
     /// See [`Node::set_retire_floor`].
-    retire_floor: Option<usize>,
+    min_healthy_voters: Option<usize>,
 }
 
 impl Node {
-    /// Starts from what was saved. `seed` feeds the election waits.
+    /// Restores a node from `saved`. `seed` randomizes the election timeouts.
     pub fn open(
         me: Identity,
         timing: Timing,
@@ -208,62 +221,64 @@
             timing,
             rng: StdRng::seed_from_u64(seed),
             term: saved.hard.term,
-            vote: (vote.id != 0).then_some(vote),
+            voted_for: (vote.id != 0).then_some(vote),
             base,
             entries: saved.entries,
             memberships: Vec::new(),
-            commit: base.0,
-            handed_out: base.0,
-            persisted: 0,
+            commit_index: base.0,
+            returned_index: base.0,
+            persisted_index: 0,
             role: Role::Follower,
             leader: None,
             heard_leader_at: None,
-            election_at: 0,
+            election_due_at: 0,
             snapshot: saved.snapshot,
             output: Output::default(),
-            hard_changed: false,
-            retire_floor: None,
+            hard_state_changed: false,
+            min_healthy_voters: None,
         };
-        node.persisted = node.last_index();
-        // What was known to be committed can be applied before anybody leads.
-        let known = saved.hard.commit.min(node.last_index());
-        node.commit = node.commit.max(known);
-        node.find_memberships();
-        node.draw_election(now);
+        node.persisted_index = node.last_index();
+        // Entries known to be committed can be applied before a leader is
+        // elected.
+        let known_commit = saved.hard.commit.min(node.last_index());
+        node.commit_index = node.commit_index.max(known_commit);
+        node.rebuild_memberships();
+        node.reset_election_timer(now);
         node
     }
 
-    /// Makes the first member list of a new cluster, as its first entry.
+    /// Appends the first member list of a new cluster, as its first entry.
     ///
-    /// Only for a node with an empty log, and only when every listed member
-    /// was asked and is empty too.
+    /// Does nothing if the log is not empty. Call it only once every listed
+    /// member has been asked and has an empty log too.
     pub fn bootstrap(&mut self, members: Vec<Member>) {
         if !self.is_empty() {
             return;
         }
         self.term = 1;
-        self.hard_changed = true;
+        self.hard_state_changed = true;
         if members.len() == 1 {
-            // Nobody else could stand; waiting only delays the start.
-            self.election_at = 0;
+            // No other member can start an election, so a wait would only
+            // delay the start.
+            self.election_due_at = 0;
         }
-        self.append_entry(1, membership_payload(members));
+        self.append_entry(1, encode_membership(members));
     }
 
-    /// Lets a leader remove members that have long been silent, as long as
-    /// at least `floor` sound voters remain.
+    /// Lets the leader remove members that have long been silent.
     ///
-    /// A VM that is gone for good otherwise counts towards the quorum for
-    /// ever: after two replacements in turn, one more loss stops the cluster
-    /// although most of its VMs run.
+    /// A voter is removed only while there are at least `floor` healthy
+    /// voters. Without removal, a permanently lost VM counts towards the
+    /// quorum for ever: after two VMs were replaced one after the other, the
+    /// loss of one more stops the cluster although most of its VMs run.
     pub fn set_retire_floor(&mut self, floor: usize) {
-        self.retire_floor = Some(floor);
+        self.min_healthy_voters = Some(floor);
     }
 
-    /// Asks the leader to take this process in, under `address`.
+    /// Asks the leader to add this process, under `address`, as a member.
     ///
-    /// For one that no leader talks to: it was never a member, or it was
-    /// removed while it was away.
+    /// For a process that hears no leader because it was never a member or
+    /// was removed while it was unreachable.
     pub fn ask_to_join(&mut self, leader: u64, address: String) {
         let to = Identity { id: leader, incarnation: 0 };
         self.send(to, self.term, Body::Join(address));
@@ -271,7 +286,8 @@
 
     // ---- Views ----------------------------------------------------------
 
-    /// True when a leader was heard within the last election time.
+    /// Whether this node leads or has heard a leader within the election
+    /// timeout.
     pub fn hears_leader(&self, now: u64) -> bool {
         self.is_leader()
             || self
@@ -279,12 +295,14 @@
                 .is_some_and(|at| now < at + self.timing.election)
     }
 
-    /// True for a node that knows of no cluster.
+    /// Whether the log and the snapshot are empty.
+    ///
+    /// Such a node knows of no cluster.
     pub fn is_empty(&self) -> bool {
         self.last_index() == 0
     }
 
-    /// This member.
+    /// The identity of this member.
     pub fn identity(&self) -> Identity {
         self.me
     }
@@ -296,10 +314,10 @@
 
     /// The highest index known to be committed.
     pub fn commit_index(&self) -> u64 {
-        self.commit
+        self.commit_index
     }
 
-    /// The last index that the snapshot covers; 0 without one.
+    /// The last index that the snapshot covers; 0 without a snapshot.
     pub fn snapshot_index(&self) -> u64 {
         self.base.0
     }
@@ -309,17 +327,17 @@
         self.base.0 + self.entries.len() as u64
     }
 
-    /// How many entries stand behind the snapshot.
+    /// The number of entries after the snapshot.
     pub fn log_len(&self) -> usize {
         self.entries.len()
     }
 
-    /// True while this node leads.
+    /// Whether this node is the leader.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// The id of the leader, as far as known.
+    /// The id of the leader, if known.
     pub fn leader(&self) -> Option<u64> {
         if self.is_leader() { Some(self.me.id) } else { self.leader }
     }
@@ -332,103 +350,111 @@
         }
     }
 
-    /// True for a leader that a majority confirmed within `lease` ms.
+    /// Whether a majority confirmed this leader within the last `lease` ms.
+    ///
+    /// The time counts from when the confirmed round was sent, not from when
+    /// the reply arrived, so a slow link can't extend the lease.
     ///
-    /// Counted from when the confirmed round was sent, not from when the
-    /// answer came in, so a slow link can't stretch it.
+    /// False until the leader has committed an entry of its own term.
     pub fn holds_quorum(&self, now: u64, lease: u64) -> bool {
-        let Role::Leader(leadership) = &self.role else { return false };
-        if self.commit < leadership.opening {
+        let Role::Leader(leader_state) = &self.role else { return false };
+        if self.commit_index < leader_state.term_start_index {
             return false;
         }
-        self.quorum_of(|member| {
+        self.is_quorum(|member| {
             member == self.me
-                || leadership.progress.iter().any(|progress| {
+                || leader_state.progress.iter().any(|progress| {
                     progress.member == member
-                        && progress.round > 0
+                        && progress.acked_round > 0
                         && now < progress.confirmed_at + lease
                 })
         })
     }
 
-    /// How many voters could be lost now without losing the quorum.
+    /// The number of voters that can be lost now without losing the quorum.
     ///
-    /// Counts only voters that answer and have all but a few entries. While
-    /// a member change is under way it is the lower count of the old list and
-    /// the new: reporting a voter as repaired before its promotion has been
-    /// committed would let an operator take down the one that it depends on.
+    /// Counts only voters that answer and lack at most a few entries. Until a
+    /// member change is committed, returns the lower of the counts for the old
+    /// and the new list. Reporting a voter as repaired before its promotion is
+    /// committed would let an operator take down a VM that the promotion still
+    /// depends on.
     pub fn survivable_losses(&self, now: u64) -> usize {
-        let Role::Leader(leadership) = &self.role else { return 0 };
+        let Role::Leader(leader_state) = &self.role else { return 0 };
         let recent = self.memberships.iter().rev();
         let uncommitted =
-            recent.clone().take_while(|(index, _)| *index > self.commit);
+            recent.clone().take_while(|(index, _)| *index > self.commit_index);
         let committed = recent.skip(uncommitted.clone().count()).take(1);
         uncommitted
             .chain(committed)
             .map(|(_, members)| {
                 let voters = members.iter().filter(|member| member.voter);
-                let sound = voters.clone().filter(|voter| {
-                    self.is_sound(now, leadership, Identity::from(*voter))
+                let healthy = voters.clone().filter(|voter| {
+                    self.is_healthy(now, leader_state, Identity::from(*voter))
                 });
-                sound.count().saturating_sub(voters.count() / 2 + 1)
+                healthy.count().saturating_sub(voters.count() / 2 + 1)
             })
             .min()
             .unwrap_or(0)
     }
 
-    /// Members that this leader has not heard for `least` ms, by address, and
-    /// for how long, in ms; empty at others.
-    pub fn unheard(&self, now: u64, least: u64) -> Vec<(String, u64)> {
-        let Role::Leader(leadership) = &self.role else { return Vec::new() };
+    /// The members that this leader has not heard for `min_silence` ms.
+    ///
+    /// Returns each member's address and its silence in ms; nothing if this
+    /// node is not the leader.
+    pub fn unheard(&self, now: u64, min_silence: u64) -> Vec<(String, u64)> {
+        let Role::Leader(leader_state) = &self.role else { return Vec::new() };
         let silent = self.members().iter().filter_map(|member| {
             let identity = Identity::from(member);
-            let progress = leadership
+            let progress = leader_state
                 .progress
                 .iter()
                 .find(|progress| progress.member == identity)?;
             let silence = now.saturating_sub(progress.confirmed_at);
-            (silence >= least).then(|| (member.address.clone(), silence))
+            (silence >= min_silence).then(|| (member.address.clone(), silence))
         });
         silent.collect()
     }
 
-    fn is_sound(
+    fn is_healthy(
         &self,
         now: u64,
-        leadership: &Leadership,
+        leader_state: &LeaderState,
         voter: Identity,
     ) -> bool {
         voter == self.me
-            || leadership.progress.iter().any(|progress| {
+            || leader_state.progress.iter().any(|progress| {
                 progress.member == voter
-                    && progress.round > 0
+                    && progress.acked_round > 0
                     && now < progress.confirmed_at + 2 * self.timing.election
-                    && progress.matched + CAUGHT_UP_ENTRIES > self.commit
+                    && progress.matched_index + CAUGHT_UP_ENTRIES
+                        > self.commit_index
             })
     }
 
-    /// The member change that is due, if any: at most one at a time.
+    /// Returns the member list to propose next, if a change is due.
     ///
-    /// Replaces a voter that came back with an empty disk by a learner, and
-    /// makes a learner that has caught up a voter.
+    /// At most one change is made at a time. In this order: a member that
+    /// came back with an empty disk is replaced by a learner, a process that
+    /// asked to join is added as a learner, a silent member is removed, and a
+    /// learner that has caught up becomes a voter.
     pub fn due_membership(&self, now: u64) -> Option<Vec<Member>> {
-        let Role::Leader(leadership) = &self.role else { return None };
-        if !self.may_change_members() {
+        let Role::Leader(leader_state) = &self.role else { return None };
+        if !self.can_change_members() {
             return None;
         }
         let members = self.members();
-        for new in &leadership.replaced {
-            let at = members.iter().position(|old| {
+        for new in &leader_state.new_incarnations {
+            let position = members.iter().position(|old| {
                 old.id == new.id && old.incarnation != new.incarnation
             });
-            if let Some(at) = at {
+            if let Some(position) = position {
                 let mut changed = members.to_vec();
-                changed[at].incarnation = new.incarnation;
-                changed[at].voter = false;
+                changed[position].incarnation = new.incarnation;
+                changed[position].voter = false;
                 return Some(changed);
             }
         }
-        if let Some(new) = leadership
+        if let Some(new) = leader_state
             .joining
             .iter()
             .find(|new| members.iter().all(|known| known.id != new.id))
@@ -437,46 +463,50 @@
             changed.push(Member { voter: false, ..new.clone() });
             return Some(changed);
         }
-        if let Some(changed) = self.without_silent(now, leadership) {
+        if let Some(changed) = self.without_silent_member(now, leader_state) {
             return Some(changed);
         }
-        let at = members.iter().position(|member| {
+        let position = members.iter().position(|member| {
             !member.voter
-                && leadership.progress.iter().any(|progress| {
+                && leader_state.progress.iter().any(|progress| {
                     progress.member == Identity::from(member)
-                        && progress.round > 0
+                        && progress.acked_round > 0
                         && now < progress.confirmed_at + self.timing.election
-                        && progress.matched + CAUGHT_UP_ENTRIES > self.commit
+                        && progress.matched_index + CAUGHT_UP_ENTRIES
+                            > self.commit_index
                 })
         })?;
         let mut changed = members.to_vec();
-        changed[at].voter = true;
+        changed[position].voter = true;
         Some(changed)
     }
 
-    /// The member list without one that has long been silent.
-    fn without_silent(
+    /// Returns the member list without the first member that has been silent
+    /// for [`REMOVAL_TIMEOUT_MS`].
+    ///
+    /// Returns `None` if no member has, or if it may not be removed.
+    fn without_silent_member(
         &self,
         now: u64,
-        leadership: &Leadership,
+        leader_state: &LeaderState,
     ) -> Option<Vec<Member>> {
-        let floor = self.retire_floor?;
+        let floor = self.min_healthy_voters?;
         let members = self.members();
-        let sound = members
+        let healthy = members
             .iter()
             .filter(|member| member.voter)
             .filter(|voter| {
-                self.is_sound(now, leadership, Identity::from(*voter))
+                self.is_healthy(now, leader_state, Identity::from(*voter))
             })
             .count();
         let silent = members.iter().position(|member| {
             let identity = Identity::from(member);
-            leadership.progress.iter().any(|progress| {
+            leader_state.progress.iter().any(|progress| {
                 progress.member == identity
-                    && now >= progress.confirmed_at + RETIRE_MS
+                    && now >= progress.confirmed_at + REMOVAL_TIMEOUT_MS
             })
         })?;
-        if members[silent].voter && sound < floor {
+        if members[silent].voter && healthy < floor {
             return None;
         }
         let mut changed = members.to_vec();
@@ -486,29 +516,30 @@
 
     // ---- Inputs ---------------------------------------------------------
 
-    /// Lets time pass: elections, heartbeats, a leader's stepping down.
+    /// Advances time: starts elections, sends heartbeats, and steps down as
+    /// leader without a quorum.
     pub fn tick(&mut self, now: u64) {
         match &self.role {
-            Role::Leader(leadership) => {
-                let due = now >= leadership.heartbeat_at;
-                // A leader that is cut off would go on believing in itself
-                // and answer from what it has. Callers would see old state;
-                // stepping down makes it refuse instead.
-                if !self.holds_quorum_or_is_opening(now) {
+            Role::Leader(leader_state) => {
+                let due = now >= leader_state.heartbeat_due_at;
+                // Otherwise a partitioned leader would still act as leader
+                // and answer callers from outdated state. After stepping
+                // down it refuses them.
+                if !self.has_recent_quorum(now) {
                     self.become_follower(now, self.term, None);
                 } else if due {
                     self.broadcast(now);
                 }
             }
             Role::Follower | Role::Candidate { .. } => {
-                if now >= self.election_at {
-                    self.stand(now, true);
+                if now >= self.election_due_at {
+                    self.start_election(now, true);
                 }
             }
         }
     }
 
-    /// Appends a change, as the leader; returns its index.
+    /// Appends a change, if this node leads; returns its index.
     pub fn propose(
         &mut self,
         now: u64,
@@ -522,7 +553,7 @@
         Ok(index)
     }
 
-    /// Appends a member list, as the leader; returns its index.
+    /// Appends a member list, if this node leads; returns its index.
     pub fn propose_members(
         &mut self,
         now: u64,
@@ -531,37 +562,39 @@
         if !self.is_leader() {
             return Err(Refusal::NotLeader { leader: self.leader });
         }
-        if !self.may_change_members() {
+        if !self.can_change_members() {
             return Err(Refusal::ChangePending);
         }
-        let index = self.append_entry(self.term, membership_payload(members));
-        self.follow_members(now);
+        let index = self.append_entry(self.term, encode_membership(members));
+        self.track_members(now);
         self.broadcast(now);
         Ok(index)
     }
 
-    /// Asks for a read that sees everything acknowledged before it.
+    /// Starts a read that sees every change acknowledged before it.
     ///
-    /// The token comes back in [`Output::reads`] once a majority confirmed
-    /// that this node still leads.
+    /// [`Output::reads`] returns the token once a majority has confirmed that
+    /// this node still leads, and [`Output::refused_reads`] if it steps down
+    /// before that.
     pub fn read(&mut self, now: u64, token: u64) -> Result<(), Refusal> {
-        let commit = self.commit;
-        let Role::Leader(leadership) = &mut self.role else {
+        let commit = self.commit_index;
+        let Role::Leader(leader_state) = &mut self.role else {
             return Err(Refusal::NotLeader { leader: self.leader });
         };
-        if commit < leadership.opening {
+        if commit < leader_state.term_start_index {
             // Entries of earlier terms may be committed without this node
-            // knowing it yet.
+            // knowing that yet.
             return Err(Refusal::ChangePending);
         }
-        let round = leadership.round + 1;
-        leadership.reads.push(Read { token, round });
+        let round = leader_state.round + 1;
+        leader_state.reads.push(PendingRead { token, round });
         self.broadcast(now);
-        self.answer_reads();
+        self.confirm_reads();
         Ok(())
     }
 
-    /// Takes a message from another member.
+    /// Processes a message from another member or a process that wants to
+    /// join.
     pub fn receive(&mut self, now: u64, message: Envelope) {
         let from = Identity {
             id: message.from,
@@ -581,7 +614,7 @@
         let Some(body) = message.body else { return };
         let term = message.term;
         match body {
-            Body::WrongIncarnation(_) => self.on_replaced(from),
+            Body::WrongIncarnation(_) => self.on_wrong_incarnation(from),
             Body::Join(address) => self.on_join(from, address),
             Body::VoteRequest(request) => {
                 self.on_vote_request(now, from, term, request);
@@ -601,45 +634,47 @@
         }
     }
 
-    /// Tells the node that the entries up to `index` have been synced.
+    /// Records that the entries up to `index` have been synced to disk.
     pub fn persisted(&mut self, index: u64) {
-        self.persisted = index.min(self.last_index());
+        self.persisted_index = index.min(self.last_index());
         self.advance_commit();
     }
 
-    /// What there is to carry out; empties it.
+    /// Takes the output that has accumulated since the last call.
     pub fn output(&mut self) -> Output {
         let mut output = std::mem::take(&mut self.output);
-        if std::mem::take(&mut self.hard_changed) {
+        if std::mem::take(&mut self.hard_state_changed) {
             output.hard = Some(self.hard());
         }
         output
     }
 
-    /// The entries that have become committed since the last call.
+    /// Takes the entries that have become ready to apply since the last call.
     pub fn committed(&mut self) -> Vec<LogEntry> {
-        let from = self.handed_out.max(self.base.0);
-        // An entry must be on this disk too before it is applied here.
-        let to = self.commit.min(self.persisted);
+        let from = self.returned_index.max(self.base.0);
+        // An entry must also be on this node's disk before it is applied
+        // here.
+        let to = self.commit_index.min(self.persisted_index);
         if to <= from {
             return Vec::new();
         }
-        self.handed_out = to;
-        let low = (from - self.base.0) as usize;
-        let high = (to - self.base.0) as usize;
-        self.entries[low..high].to_vec()
+        self.returned_index = to;
+        let start = (from - self.base.0) as usize;
+        let end = (to - self.base.0) as usize;
+        self.entries[start..end].to_vec()
     }
 
-    /// Makes a snapshot of `state`, which has applied up to `index`.
+    /// Makes a snapshot of `state`, to which the log up to `index` is applied.
     ///
-    /// Returns it together with the entries that stay behind it, for the
-    /// disk. A member that lacks entries before `index` gets the snapshot.
+    /// Returns the snapshot and the entries that remain in the log after it,
+    /// to be written to disk. A member that lacks entries up to `index` is
+    /// sent the snapshot.
     pub fn compact(
         &mut self,
         index: u64,
         state: Vec<u8>,
     ) -> Option<(Snapshot, &[LogEntry])> {
-        if index <= self.base.0 || index > self.commit {
+        if index <= self.base.0 || index > self.commit_index {
             return None;
         }
         let members = self
@@ -658,18 +693,19 @@
         self.entries.drain(..(index - self.base.0) as usize);
         self.base = (index, snapshot.term);
         self.snapshot = Some(snapshot.clone());
-        self.find_memberships();
+        self.rebuild_memberships();
         Some((snapshot, &self.entries))
     }
 
-    /// Term and vote, as they have to last, and what is committed.
+    /// Term, vote and commit index, as written to disk.
     pub fn hard(&self) -> HardState {
-        let vote = self.vote.unwrap_or(Identity { id: 0, incarnation: 0 });
+        let vote =
+            self.voted_for.unwrap_or(Identity { id: 0, incarnation: 0 });
         HardState {
             term: self.term,
             vote: vote.id,
             vote_incarnation: vote.incarnation,
-            commit: self.commit,
+            commit: self.commit_index,
         }
     }
 }
