--- a/tests/all/raft.rs
+++ b/tests/all/raft.rs
@@ -1,16 +1,17 @@
-//! The replicated log under random schedules, against a plain list.
+//! The replicated log under random schedules, checked against a plain list.
 //!
-//! Each schedule runs members in memory. Messages are lost, doubled, late and
-//! out of order; members crash before or after a sync; links are cut; a disk
-//! is lost. Seeds are fixed: a failing one is named and fails again.
+//! Each schedule runs a cluster in memory. Messages are lost, duplicated,
+//! delayed and reordered. Members crash before or after a sync, links are cut,
+//! processes freeze, and a disk is lost. Seeds are fixed: each failure names
+//! its seed, and running the seed again reproduces the failure.
 //!
-//! Checked after every step:
+//! Checked throughout each schedule:
 //!
-//! - no two members lead one term;
-//! - what one member applied at an index, every member applies there;
-//! - a change that was acknowledged is applied, once, and stays;
-//! - changes and reads are linearizable: each sees all that was acknowledged
-//!   before it began.
+//! - no two members lead in one term;
+//! - every member applies the same entry at an index;
+//! - an acknowledged change is applied exactly once and is never lost;
+//! - changes and reads are linearizable: each sees every change that was
+//!   acknowledged before it began.
 
 use azuremount::{
     control::raft::{Identity, Node, Output, Refusal, Saved, Timing},
@@ -22,7 +23,7 @@
 
 const TIMING: Timing = Timing { heartbeat: 50, election: 250 };
 
-/// What survives a crash.
+/// The data that a process keeps across a crash.
 #[derive(Clone, Default)]
 struct Disk {
     incarnation: u64,
@@ -41,8 +42,8 @@
         let base =
             self.saved.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
         for entry in &output.entries {
-            let at = (entry.index - base - 1) as usize;
-            self.saved.entries.truncate(at);
+            let position = (entry.index - base - 1) as usize;
+            self.saved.entries.truncate(position);
             self.saved.entries.push(entry.clone());
         }
     }
@@ -51,25 +52,28 @@
 struct Process {
     node: Option<Node>,
     disk: Disk,
-    /// Payloads applied, by index from 1.
+    /// Applied payloads in the order of their indexes, from index 1.
     applied: Vec<Vec<u8>>,
+    /// Unconfirmed reads: token, and number of changes that the read must see.
     reads: Vec<(u64, usize)>,
 }
 
-struct World {
+struct Cluster {
     seed: u64,
     rng: StdRng,
     now: u64,
     processes: Vec<Process>,
-    flying: Vec<Envelope>,
-    cut: Vec<bool>,
-    /// Stopped processes: no time, no messages, until they go on.
+    in_flight: Vec<Envelope>,
+    /// Processes that can neither send nor receive messages.
+    partitioned: Vec<bool>,
+    /// Frozen processes: get no ticks and no messages until they resume.
     frozen: Vec<bool>,
-    /// The one true history, as first applied anywhere.
+    /// The payload at each index, as the first process applied it.
     history: Vec<Vec<u8>>,
+    /// Each term that had a leader, with the id of that leader.
     leaders: Vec<(u64, u64)>,
-    /// Proposals under way: payload, and where it went.
-    open: Vec<(Vec<u8>, u64, u64, usize)>,
+    /// Unanswered proposals: payload, index, term and proposing process.
+    proposals: Vec<(Vec<u8>, u64, u64, usize)>,
     acknowledged: Vec<Vec<u8>>,
     next_value: u64,
     next_token: u64,
@@ -77,8 +81,8 @@
     lost_disks: usize,
 }
 
-impl World {
-    fn open(seed: u64, size: u64) -> World {
+impl Cluster {
+    fn new(seed: u64, size: u64) -> Cluster {
         let mut rng = StdRng::seed_from_u64(seed);
         let members: Vec<Member> = (1..=size)
             .map(|id| Member {
@@ -94,7 +98,8 @@
                 let seed = rng.random();
                 let mut node =
                     Node::open(me, TIMING, seed, 0, Saved::default());
-                // The same first list everywhere, as if already copied.
+                // Every member starts with the same first list, as if it had
+                // already been replicated.
                 node.bootstrap(members.clone());
                 let mut disk =
                     Disk { incarnation: 100 + id, ..Disk::default() };
@@ -109,17 +114,17 @@
                 }
             })
             .collect();
-        World {
+        Cluster {
             seed,
             rng,
             now: 0,
             processes,
-            flying: Vec::new(),
-            cut: vec![false; size as usize],
+            in_flight: Vec::new(),
+            partitioned: vec![false; size as usize],
             frozen: vec![false; size as usize],
             history: Vec::new(),
             leaders: Vec::new(),
-            open: Vec::new(),
+            proposals: Vec::new(),
             acknowledged: Vec::new(),
             next_value: 1,
             next_token: 1,
@@ -132,26 +137,27 @@
         self.rng.random_range(0..100) < percent
     }
 
-    fn any(&mut self) -> usize {
+    fn random_slot(&mut self) -> usize {
         self.rng.random_range(0..self.processes.len())
     }
 
-    /// One random step.
+    /// Performs one random step.
     fn step(&mut self, faults: bool) {
         match self.rng.random_range(0..200) {
             0..50 => self.pass_time(),
             50..150 => {
-                // Keeps up with what is sent, else all becomes stale.
-                for _ in 0..1 + self.flying.len() / 16 {
+                // Delivers more messages while more are in flight, so that
+                // they are not all outdated on delivery.
+                for _ in 0..1 + self.in_flight.len() / 16 {
                     self.deliver(faults);
                 }
             }
             150..170 => self.propose(),
-            170..180 => self.read(),
+            170..180 => self.read_from_random(),
             180..190 => self.restart(),
-            190..192 if faults => self.crash(),
-            192..194 if faults => self.cut(),
-            194..196 if faults => self.freeze(),
+            190..192 if faults => self.crash_random(),
+            192..194 if faults => self.toggle_partition(),
+            194..196 if faults => self.toggle_freeze(),
             196..198 if faults => self.compact(),
             198 if faults => self.lose_disk(),
             _ => self.pass_time(),
@@ -161,165 +167,174 @@
 
     fn pass_time(&mut self) {
         self.now += self.rng.random_range(1..40);
-        for at in 0..self.processes.len() {
-            if self.frozen[at] {
+        for slot in 0..self.processes.len() {
+            if self.frozen[slot] {
                 continue;
             }
-            if let Some(node) = &mut self.processes[at].node {
+            if let Some(node) = &mut self.processes[slot].node {
                 node.tick(self.now);
-                // A member change is never proposed by the node itself.
+                // The node never proposes a member change by itself.
                 if let Some(members) = node.due_membership(self.now) {
                     let _ = node.propose_members(self.now, members);
                 }
             }
-            self.settle(at, false);
+            self.process_output(slot, false);
         }
     }
 
     fn deliver(&mut self, faults: bool) {
-        if self.flying.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let at = self.rng.random_range(0..self.flying.len());
-        let message = self.flying.swap_remove(at);
+        let position = self.rng.random_range(0..self.in_flight.len());
+        let message = self.in_flight.swap_remove(position);
         if faults && self.chance(5) {
             return;
         }
         if faults && self.chance(5) {
-            self.flying.push(message.clone());
+            self.in_flight.push(message.clone());
         }
         let from = message.from as usize - 1;
         let to = message.to as usize - 1;
-        if self.cut[from] || self.cut[to] {
+        if self.partitioned[from] || self.partitioned[to] {
             return;
         }
         if self.frozen[to] {
-            self.flying.push(message);
+            self.in_flight.push(message);
             return;
         }
         if let Some(node) = &mut self.processes[to].node {
             node.receive(self.now, message);
         }
-        self.settle(to, faults);
+        self.process_output(to, faults);
     }
 
-    /// Stops a process, or lets it go on: with what it was about to do.
-    fn freeze(&mut self) {
-        let at = self.any();
-        if self.frozen[at] {
-            self.frozen[at] = false;
-            self.read_at(at);
-        } else if self.may_lose_another() {
-            self.frozen[at] = true;
+    /// Freezes a process, or resumes it.
+    ///
+    /// A resumed process starts a read at once, before its next tick.
+    fn toggle_freeze(&mut self) {
+        let slot = self.random_slot();
+        if self.frozen[slot] {
+            self.frozen[slot] = false;
+            self.read_from(slot);
+        } else if self.can_fail_another() {
+            self.frozen[slot] = true;
         }
     }
 
-    /// Cuts a member's links, or mends them.
-    fn cut(&mut self) {
-        let at = self.any();
-        self.cut[at] = !self.cut[at] && self.may_lose_another();
+    /// Cuts a member's links, or restores them.
+    fn toggle_partition(&mut self) {
+        let slot = self.random_slot();
+        self.partitioned[slot] =
+            !self.partitioned[slot] && self.can_fail_another();
     }
 
     fn propose(&mut self) {
-        let at = self.any();
-        if self.frozen[at] {
+        let slot = self.random_slot();
+        if self.frozen[slot] {
             return;
         }
         let payload = format!("v{}", self.next_value).into_bytes();
-        let Some(node) = &mut self.processes[at].node else { return };
+        let Some(node) = &mut self.processes[slot].node else { return };
         if let Ok(index) = node.propose(self.now, payload.clone()) {
             let term = node.term();
             self.next_value += 1;
-            self.open.push((payload, index, term, at));
+            self.proposals.push((payload, index, term, slot));
         }
-        self.settle(at, false);
+        self.process_output(slot, false);
     }
 
-    fn read(&mut self) {
-        let at = self.any();
-        if !self.frozen[at] {
-            self.read_at(at);
+    fn read_from_random(&mut self) {
+        let slot = self.random_slot();
+        if !self.frozen[slot] {
+            self.read_from(slot);
         }
     }
 
-    fn read_at(&mut self, at: usize) {
+    fn read_from(&mut self, slot: usize) {
         let token = self.next_token;
-        // Whatever was acknowledged by now must be visible to this read.
+        // The read must see every change that is acknowledged by now.
         let needed = self.acknowledged.len();
-        let process = &mut self.processes[at];
+        let process = &mut self.processes[slot];
         let Some(node) = &mut process.node else { return };
         if node.read(self.now, token).is_ok() {
             self.next_token += 1;
             process.reads.push((token, needed));
         }
-        self.settle(at, false);
+        self.process_output(slot, false);
     }
 
-    fn crash(&mut self) {
-        let at = self.any();
-        if self.may_lose_another() {
-            self.kill(at);
+    fn crash_random(&mut self) {
+        let slot = self.random_slot();
+        if self.can_fail_another() {
+            self.crash_process(slot);
         }
     }
 
-    /// Mostly a minority is away, now and then a majority.
-    fn may_lose_another(&mut self) -> bool {
-        let away = (0..self.processes.len()).filter(|&at| {
-            self.processes[at].node.is_none()
-                || self.cut[at]
-                || self.frozen[at]
+    /// Whether one more process may become unavailable.
+    ///
+    /// Keeps a majority available, except that 5 percent of the calls allow any
+    /// failure.
+    fn can_fail_another(&mut self) -> bool {
+        let unavailable = (0..self.processes.len()).filter(|&slot| {
+            self.processes[slot].node.is_none()
+                || self.partitioned[slot]
+                || self.frozen[slot]
         });
-        2 * away.count() + 2 < self.processes.len() || self.chance(5)
+        2 * unavailable.count() + 2 < self.processes.len() || self.chance(5)
     }
 
-    fn kill(&mut self, at: usize) {
-        self.processes[at].node = None;
-        self.processes[at].applied.clear();
-        self.processes[at].reads.clear();
-        self.open.retain(|(_, _, _, where_)| *where_ != at);
+    fn crash_process(&mut self, slot: usize) {
+        self.processes[slot].node = None;
+        self.processes[slot].applied.clear();
+        self.processes[slot].reads.clear();
+        self.proposals.retain(|(_, _, _, proposer)| *proposer != slot);
     }
 
     fn restart(&mut self) {
-        let at = self.any();
-        if self.processes[at].node.is_some() {
+        let slot = self.random_slot();
+        if self.processes[slot].node.is_some() {
             return;
         }
-        let disk = self.processes[at].disk.clone();
-        let me = Identity { id: at as u64 + 1, incarnation: disk.incarnation };
+        let disk = self.processes[slot].disk.clone();
+        let me =
+            Identity { id: slot as u64 + 1, incarnation: disk.incarnation };
         let seed = self.rng.random();
         let snapshot = disk.saved.snapshot.clone();
         let node = Node::open(me, TIMING, seed, self.now, disk.saved);
-        self.processes[at].applied = decode(snapshot.as_ref());
-        self.processes[at].node = Some(node);
+        self.processes[slot].applied = decode(snapshot.as_ref());
+        self.processes[slot].node = Some(node);
     }
 
-    /// A disk is lost only while the others are sound, as an operator would
-    /// see in `status`: losing a majority loses the cluster by any rules.
+    /// Wipes a disk, if a leader reports that the cluster survives the loss.
+    ///
+    /// An operator reads the same report in `status`. No protocol survives the
+    /// loss of a majority of the disks.
     fn lose_disk(&mut self) {
-        let at = self.any();
-        let sound = self.processes.iter().any(|process| {
+        let slot = self.random_slot();
+        let has_spare_voter = self.processes.iter().any(|process| {
             process.node.as_ref().is_some_and(|node| {
                 node.survivable_losses(self.now) > 0
                     && node.members().iter().all(|member| {
-                        let disk = &self.processes[member.id as usize - 1];
+                        let process = &self.processes[member.id as usize - 1];
                         member.voter
-                            && member.incarnation == disk.disk.incarnation
+                            && member.incarnation == process.disk.incarnation
                     })
             })
         });
-        if !sound {
+        if !has_spare_voter {
             return;
         }
-        self.kill(at);
+        self.crash_process(slot);
         self.next_incarnation += 1;
-        self.processes[at].disk =
+        self.processes[slot].disk =
             Disk { incarnation: self.next_incarnation, ..Disk::default() };
         self.lost_disks += 1;
     }
 
     fn compact(&mut self) {
-        let at = self.any();
-        let process = &mut self.processes[at];
+        let slot = self.random_slot();
+        let process = &mut self.processes[slot];
         let Some(node) = &mut process.node else { return };
         let index = process.applied.len() as u64;
         let state = encode(&process.applied);
@@ -329,17 +344,17 @@
         }
     }
 
-    /// What a member's driver does after each input.
-    fn settle(&mut self, at: usize, faults: bool) {
+    /// Does what a member's driver does after each input.
+    fn process_output(&mut self, slot: usize, faults: bool) {
         loop {
-            let may_crash = faults && self.may_lose_another();
+            let may_crash = faults && self.can_fail_another();
             let crash_before_sync = may_crash && self.chance(1);
             let crash_before_send = may_crash && self.chance(1);
-            let process = &mut self.processes[at];
+            let process = &mut self.processes[slot];
             let Some(node) = &mut process.node else { return };
             let output = node.output();
             if crash_before_sync {
-                self.kill(at);
+                self.crash_process(slot);
                 return;
             }
             process.disk.write(&output);
@@ -347,22 +362,22 @@
                 process.applied = decode(Some(snapshot));
             }
             if crash_before_send {
-                self.kill(at);
+                self.crash_process(slot);
                 return;
             }
-            self.flying.extend(output.messages);
+            self.in_flight.extend(output.messages);
             node.persisted(node.last_index());
             let committed = node.committed();
-            let more = !committed.is_empty();
+            let has_committed = !committed.is_empty();
             for entry in committed {
-                self.apply(at, entry);
+                self.apply(slot, entry);
             }
-            let process = &mut self.processes[at];
+            let process = &mut self.processes[slot];
             for token in output.reads {
-                let found =
+                let position =
                     process.reads.iter().position(|read| read.0 == token);
-                if let Some(found) = found {
-                    let (_, needed) = process.reads.remove(found);
+                if let Some(position) = position {
+                    let (_, needed) = process.reads.remove(position);
                     let applied = &process.applied;
                     for value in &self.acknowledged[..needed] {
                         assert!(
@@ -373,15 +388,15 @@
                     }
                 }
             }
-            if !more {
+            if !has_committed {
                 return;
             }
         }
     }
 
-    fn apply(&mut self, at: usize, entry: LogEntry) {
+    fn apply(&mut self, slot: usize, entry: LogEntry) {
         let index = entry.index as usize;
-        let process = &mut self.processes[at];
+        let process = &mut self.processes[slot];
         assert_eq!(
             process.applied.len() + 1,
             index,
@@ -398,11 +413,15 @@
             "seed {}: two members differ at {index}",
             self.seed
         );
-        let found = self.open.iter().position(|(_, open, term, where_)| {
-            *open == entry.index && *term == entry.term && *where_ == at
-        });
-        if let Some(found) = found {
-            let (payload, ..) = self.open.remove(found);
+        let position = self.proposals.iter().position(
+            |(_, proposed_index, term, proposer)| {
+                *proposed_index == entry.index
+                    && *term == entry.term
+                    && *proposer == slot
+            },
+        );
+        if let Some(position) = position {
+            let (payload, ..) = self.proposals.remove(position);
             assert_eq!(payload, entry.payload, "seed {}", self.seed);
             self.acknowledged.push(payload);
         }
@@ -444,17 +463,18 @@
     }
 
     fn restart_all(&mut self) {
-        while self.processes.iter().any(|one| one.node.is_none()) {
+        while self.processes.iter().any(|process| process.node.is_none()) {
             self.restart();
         }
     }
 
-    /// Heals everything; all members must then agree and make progress.
+    /// Ends all faults, and checks that all members then agree and make
+    /// progress.
     fn heal(&mut self) {
-        self.cut.fill(false);
+        self.partitioned.fill(false);
         self.frozen.fill(false);
         self.restart_all();
-        let goal = self.next_value;
+        let first_new_value = self.next_value;
         for _ in 0..20_000 {
             self.step(false);
             for _ in 0..3 {
@@ -464,32 +484,36 @@
                 .processes
                 .iter()
                 .all(|process| process.applied.len() == self.history.len());
-            let voters = self.processes.iter().all(|process| {
+            let all_voters = self.processes.iter().all(|process| {
                 process.node.as_ref().is_some_and(|node| {
                     node.members().iter().all(|member| member.voter)
                 })
             });
-            if caught_up && voters && self.next_value > goal + 3 {
+            if caught_up && all_voters && self.next_value > first_new_value + 3
+            {
                 break;
             }
         }
         assert!(
-            self.next_value > goal + 3,
+            self.next_value > first_new_value + 3,
             "seed {}: no progress after healing: {:#?}",
             self.seed,
             self.describe()
         );
         for value in &self.acknowledged {
-            let count =
-                self.history.iter().filter(|one| *one == value).count();
-            assert_eq!(count, 1, "seed {}: lost or doubled", self.seed);
+            let count = self
+                .history
+                .iter()
+                .filter(|applied| *applied == value)
+                .count();
+            assert_eq!(count, 1, "seed {}: lost or duplicated", self.seed);
         }
     }
 }
 
 fn encode(applied: &[Vec<u8>]) -> Vec<u8> {
     let lines: Vec<String> =
-        applied.iter().map(|one| format!("{one:?}")).collect();
+        applied.iter().map(|payload| format!("{payload:?}")).collect();
     lines.join("\n").into_bytes()
 }
 
@@ -507,21 +531,21 @@
         .collect()
 }
 
-fn run_schedules(first: u64, count: u64, size: u64, steps: u64) {
+fn run_schedules(first_seed: u64, count: u64, size: u64, steps: u64) {
     let mut acknowledged = 0;
-    let mut lost = 0;
-    for seed in first..first + count {
-        let mut world = World::open(seed, size);
+    let mut lost_disks = 0;
+    for seed in first_seed..first_seed + count {
+        let mut cluster = Cluster::new(seed, size);
         for _ in 0..steps {
-            world.step(true);
+            cluster.step(true);
         }
-        world.heal();
-        acknowledged += world.acknowledged.len();
-        lost += world.lost_disks;
+        cluster.heal();
+        acknowledged += cluster.acknowledged.len();
+        lost_disks += cluster.lost_disks;
     }
-    // A schedule in which nothing happens proves nothing.
+    // Schedules without changes or lost disks would prove nothing.
     assert!(acknowledged as u64 > 15 * count, "only {acknowledged} changes");
-    assert!(lost as u64 > count / 20, "only {lost} lost disks");
+    assert!(lost_disks as u64 > count / 20, "only {lost_disks} lost disks");
 }
 
 #[test]
@@ -534,71 +558,75 @@
     run_schedules(100_000, 600, 5, 6300);
 }
 
-/// Symptom: an acknowledged change is gone. Sequence: a change is committed
-/// by members 1 and 2 while 3 is cut off; 2 loses its disk and comes back
-/// empty; 1 dies; 3 stands, and 2, which has forgotten the change, votes for
-/// it. Cause: a vote was given in the name of a disk that no longer exists.
+/// Guards against the loss of an acknowledged change.
+///
+/// Members 1 and 2 commit a change while member 3 is partitioned. Member 2
+/// loses its disk and restarts empty, and member 1 crashes. Member 3 starts an
+/// election. Member 2 has lost the change, so it must not vote for member 3 under
+/// the incarnation of the lost disk.
 #[test]
-fn a_lost_disk_never_votes_for_what_it_forgot() {
-    let mut world = World::open(3, 3);
-    world.cut[2] = true;
-    while world.acknowledged.is_empty() {
-        world.step(false);
-    }
-    world.kill(1);
-    world.processes[1].disk = Disk { incarnation: 999, ..Disk::default() };
-    world.kill(0);
-    world.cut[2] = false;
-    world.flying.clear();
+fn wiped_member_does_not_vote_under_its_old_incarnation() {
+    let mut cluster = Cluster::new(3, 3);
+    cluster.partitioned[2] = true;
+    while cluster.acknowledged.is_empty() {
+        cluster.step(false);
+    }
+    cluster.crash_process(1);
+    cluster.processes[1].disk = Disk { incarnation: 999, ..Disk::default() };
+    cluster.crash_process(0);
+    cluster.partitioned[2] = false;
+    cluster.in_flight.clear();
     let me = Identity { id: 2, incarnation: 999 };
     let empty = Saved::default();
-    let node = Node::open(me, TIMING, 1, world.now, empty);
-    world.processes[1].node = Some(node);
+    let node = Node::open(me, TIMING, 1, cluster.now, empty);
+    cluster.processes[1].node = Some(node);
     for _ in 0..400 {
-        // Only members 2 and 3 run: neither may lead.
-        world.pass_time();
+        // Only members 2 and 3 run. Neither may become leader.
+        cluster.pass_time();
         for _ in 0..3 {
-            world.deliver(false);
+            cluster.deliver(false);
         }
-        for process in &world.processes {
+        for process in &cluster.processes {
             let leads = process.node.as_ref().is_some_and(Node::is_leader);
             assert!(!leads, "a leader without the acknowledged change");
         }
     }
-    // With member 1 back the change is still there, and 2 joins again.
-    world.restart_all();
-    world.heal();
+    // Once member 1 is back, the change still exists and member 2 rejoins.
+    cluster.restart_all();
+    cluster.heal();
 }
 
-/// Symptom: `status` says that one more loss can be survived; the operator
-/// takes a VM down, and the cluster is lost. Sequence: a learner's promotion
-/// is appended, not committed; the losses are counted; the leader dies with
-/// the promotion. Cause: the count went by the newest list in the log.
+/// Guards against a `status` that overstates the survivable losses, so that an
+/// operator takes a VM down and loses the cluster.
+///
+/// A learner's promotion is appended but not committed when the losses are
+/// counted, and the leader crashes with the only copy of the promotion. A
+/// count by the newest list in the log alone is too high.
 #[test]
-fn losses_are_counted_by_the_committed_list_too() {
-    let mut world = World::open(11, 3);
-    world.processes[2].node = None;
-    world.processes[2].disk = Disk { incarnation: 999, ..Disk::default() };
+fn survivable_losses_consider_the_committed_member_list() {
+    let mut cluster = Cluster::new(11, 3);
+    cluster.processes[2].node = None;
+    cluster.processes[2].disk = Disk { incarnation: 999, ..Disk::default() };
     for _ in 0..20_000 {
-        world.step(false);
-        world.restart_all();
-        for process in &world.processes {
+        cluster.step(false);
+        cluster.restart_all();
+        for process in &cluster.processes {
             let Some(node) = &process.node else { continue };
             let promoted = node
                 .members()
                 .iter()
                 .any(|member| member.incarnation == 999 && member.voter);
-            let members = |one: &Process| {
-                let node = one.node.as_ref().map(Node::members);
+            let members = |process: &Process| {
+                let node = process.node.as_ref().map(Node::members);
                 node.unwrap_or_default().to_vec()
             };
-            let elsewhere = world
+            let holders = cluster
                 .processes
                 .iter()
                 .filter(|other| members(other) == node.members())
                 .count();
-            if node.is_leader() && promoted && elsewhere == 1 {
-                assert_eq!(node.survivable_losses(world.now), 0);
+            if node.is_leader() && promoted && holders == 1 {
+                assert_eq!(node.survivable_losses(cluster.now), 0);
                 return;
             }
         }
@@ -616,8 +644,9 @@
     vec![member(1), member(2), member(3)]
 }
 
-/// Member 1 of three, leading, with an entry of an earlier term in its log.
-fn leader_with_an_old_entry() -> (Node, u64) {
+/// Makes member 1 of three the leader, with an entry of an earlier term in its
+/// log.
+fn leader_with_entry_of_older_term() -> (Node, u64) {
     let me = Identity { id: 1, incarnation: 101 };
     let mut node = Node::open(me, TIMING, 5, 0, Saved::default());
     node.bootstrap(three_members());
@@ -627,7 +656,10 @@
         let term = node.term() + u64::from(pre);
         node.receive(
             now,
-            from_two(term, Body::VoteReply(VoteReply { pre, granted: true })),
+            from_member_2(
+                term,
+                Body::VoteReply(VoteReply { pre, granted: true }),
+            ),
         );
     }
     assert!(node.is_leader());
@@ -636,7 +668,7 @@
     (node, now)
 }
 
-fn from_two(term: u64, body: Body) -> Envelope {
+fn from_member_2(term: u64, body: Body) -> Envelope {
     Envelope {
         from: 2,
         from_incarnation: 102,
@@ -647,49 +679,56 @@
     }
 }
 
-fn matched(index: u64) -> Body {
+fn append_success(index: u64) -> Body {
     let reply = AppendReply { success: true, match_index: index, round: 1 };
     Body::AppendReply(reply)
 }
 
-/// Symptom: a committed change is replaced by another. Sequence: an entry of
-/// an old term reaches a majority and is called committed; its leader dies; a
-/// member with a newer last term, that lacks the entry, is elected. Cause:
-/// counting copies of an entry that is not of the leader's own term.
+/// Guards against the replacement of a committed change by another.
+///
+/// An entry of an older term reaches a majority and counts as committed. The
+/// leader crashes, and a member is elected that lacks the entry but has a
+/// newer last term. A leader must therefore count the copies of entries of its
+/// own term only.
 #[test]
-fn an_old_terms_entry_commits_only_below_one_of_this_term() {
-    let (mut node, now) = leader_with_an_old_entry();
+fn entry_of_older_term_commits_only_with_entry_of_current_term() {
+    let (mut node, now) = leader_with_entry_of_older_term();
     let term = node.term();
-    node.receive(now, from_two(term, matched(1)));
+    node.receive(now, from_member_2(term, append_success(1)));
     assert_eq!(node.commit_index(), 0);
-    node.receive(now, from_two(term, matched(2)));
+    node.receive(now, from_member_2(term, append_success(2)));
     assert_eq!(node.commit_index(), 2);
 }
 
-/// Symptom: two leaders, each with a quorum of its own member list. Sequence:
-/// two changes of one voter each are under way at once. Cause: the second was
-/// taken before the first, or the term's first entry, was committed.
+/// Guards against two leaders that each have a quorum of their own member
+/// list.
+///
+/// Two uncommitted changes of one voter each make this possible. So a leader
+/// must refuse a change until the one before it, and the first entry of its
+/// term, are committed.
 #[test]
-fn member_changes_go_one_at_a_time() {
-    let (mut node, now) = leader_with_an_old_entry();
+fn member_changes_are_made_one_at_a_time() {
+    let (mut node, now) = leader_with_entry_of_older_term();
     let term = node.term();
-    let mut smaller = three_members();
-    smaller.pop();
+    let mut two_members = three_members();
+    two_members.pop();
     let refused = Err(Refusal::ChangePending);
-    assert_eq!(node.propose_members(now, smaller.clone()), refused);
-    node.receive(now, from_two(term, matched(2)));
-    assert_eq!(node.propose_members(now, smaller.clone()), Ok(3));
+    assert_eq!(node.propose_members(now, two_members.clone()), refused);
+    node.receive(now, from_member_2(term, append_success(2)));
+    assert_eq!(node.propose_members(now, two_members.clone()), Ok(3));
     assert_eq!(node.propose_members(now, three_members()), refused);
 }
 
-/// Symptom: a control VM that was cut off for long goes on taking changes,
-/// which are gone when it is back. Sequence: the leader's links go silent;
-/// operators and entries on its side still reach it. Cause: a leader that
-/// hears nobody believed in itself for ever.
+/// Guards against changes that a partitioned leader accepts and that are lost
+/// when the partition ends.
+///
+/// The leader gets no messages from the other members, but operators and
+/// entries on its side of the partition still reach it. A leader that hears no
+/// other member must not stay leader.
 #[test]
-fn a_leader_that_is_cut_off_steps_down() {
-    let (mut node, now) = leader_with_an_old_entry();
-    node.receive(now, from_two(node.term(), matched(2)));
+fn partitioned_leader_steps_down() {
+    let (mut node, now) = leader_with_entry_of_older_term();
+    node.receive(now, from_member_2(node.term(), append_success(2)));
     assert!(node.propose(now + 10, b"one".to_vec()).is_ok());
     node.tick(now + TIMING.election + 1);
     assert!(!node.is_leader());
@@ -697,10 +736,11 @@
     assert_eq!(refused, Err(Refusal::NotLeader { leader: None }));
 }
 
-/// A leader of three whose commit stands, for member changes.
-fn leader_with_a_commit() -> (Node, u64) {
-    let (mut node, now) = leader_with_an_old_entry();
-    node.receive(now, from_two(node.term(), matched(2)));
+/// Makes member 1 of three the leader, with an entry of its own term
+/// committed, so that member changes are possible.
+fn leader_with_committed_entry() -> (Node, u64) {
+    let (mut node, now) = leader_with_entry_of_older_term();
+    node.receive(now, from_member_2(node.term(), append_success(2)));
     (node, now)
 }
 
@@ -715,10 +755,11 @@
     }
 }
 
-/// A process that no list names asks to be taken in: as a learner first.
+/// A process that is in no member list asks to join, and is added as a learner
+/// first.
 #[test]
-fn who_asks_to_join_becomes_a_learner() {
-    let (mut node, now) = leader_with_a_commit();
+fn joining_process_becomes_a_learner() {
+    let (mut node, now) = leader_with_committed_entry();
     node.receive(now, join_from(9, 77));
     let due = node.due_membership(now).unwrap();
     let new = due.iter().find(|member| member.id == 9).unwrap();
@@ -726,40 +767,41 @@
     assert_eq!(due.len(), 4);
     assert!(node.propose_members(now, due).is_ok());
     node.receive(now, join_from(9, 77));
-    assert_eq!(node.due_membership(now), None, "already in");
+    assert_eq!(node.due_membership(now), None, "already a member");
 }
 
-/// Symptom: a member that lost its disk votes in the name of the old one.
-/// Sequence: it asks to join under its old address with a new incarnation.
+/// Guards against a member that lost its disk and votes as its old incarnation.
+///
+/// The member asks to join under its old id with a new incarnation.
 #[test]
-fn a_wiped_member_that_joins_is_no_voter() {
-    let (mut node, now) = leader_with_a_commit();
+fn wiped_member_rejoins_as_a_learner() {
+    let (mut node, now) = leader_with_committed_entry();
     node.receive(now, join_from(3, 999));
     let due = node.due_membership(now).unwrap();
-    let again = due.iter().find(|member| member.id == 3).unwrap();
-    assert!(!again.voter && again.incarnation == 999);
+    let rejoined = due.iter().find(|member| member.id == 3).unwrap();
+    assert!(!rejoined.voter && rejoined.incarnation == 999);
     assert_eq!(due.len(), 3);
 }
 
-/// Symptom: after two VMs were replaced for good, the loss of one more stops
-/// the cluster although most of its VMs run. Cause: those that are gone still
-/// count towards the quorum.
+/// Guards against a cluster that stops although most of its VMs run.
+///
+/// If two VMs that were replaced for good still counted towards the quorum,
+/// the loss of one more would stop the cluster.
 #[test]
-fn members_gone_for_good_are_removed_while_enough_remain() {
-    let (mut node, mut now) = leader_with_a_commit();
-    for (floor, gone) in [(3, false), (2, true)] {
-        node.set_retire_floor(floor);
-        // Member 2 answers all the time, member 3 never.
+fn silent_members_are_removed_while_enough_healthy_voters_remain() {
+    let (mut node, mut now) = leader_with_committed_entry();
+    for (min_healthy, is_removed) in [(3, false), (2, true)] {
+        node.set_retire_floor(min_healthy);
+        // Member 2 always answers, member 3 never.
         for _ in 0..100 {
             now += 100;
             node.tick(now);
-            let appended =
-                node.output().messages.into_iter().find_map(|one| {
-                    match (one.to, one.body) {
-                        (2, Some(Body::AppendRequest(append))) => Some(append),
-                        _ => None,
-                    }
-                });
+            let appended = node.output().messages.into_iter().find_map(
+                |message| match (message.to, message.body) {
+                    (2, Some(Body::AppendRequest(append))) => Some(append),
+                    _ => None,
+                },
+            );
             if let Some(append) = appended {
                 let reply = AppendReply {
                     success: true,
@@ -767,20 +809,20 @@
                     round: append.round,
                 };
                 let body = Body::AppendReply(reply);
-                node.receive(now, from_two(node.term(), body));
+                node.receive(now, from_member_2(node.term(), body));
             }
         }
         let due = node.due_membership(now);
-        let without = due.is_some_and(|members| members.len() == 2);
-        assert_eq!(without, gone, "with a floor of {floor}");
+        let removed = due.is_some_and(|members| members.len() == 2);
+        assert_eq!(removed, is_removed, "with a minimum of {min_healthy}");
     }
 }
 
 #[test]
-fn one_member_commits_alone() {
-    let mut world = World::open(7, 1);
+fn single_member_commits_alone() {
+    let mut cluster = Cluster::new(7, 1);
     for _ in 0..200 {
-        world.step(false);
+        cluster.step(false);
     }
-    assert!(!world.acknowledged.is_empty());
+    assert!(!cluster.acknowledged.is_empty());
 }
