--- a/src/decide/quarantine/mod.rs
+++ b/src/decide/quarantine/mod.rs
@@ -50,13 +50,13 @@
 mod sound;
 mod word;
 
-pub use self::word::Word;
+pub use self::word::Report;
 use self::{record::Record, sound::Successes};
 use crate::util::{common, position};
 
 /// Number of crashes after which a request is quarantined. A bystander may be
 /// in flight at two crashes by chance, but hardly ever at three.
-pub const CRASHES: usize = 3;
+pub const QUARANTINE_CRASHES: usize = 3;
 /// Duration of a quarantine after the third crash, in ms; each further crash
 /// doubles it. Three trials then take fourteen minutes, and cost no more
 /// replicas than it took to identify the request.
@@ -121,14 +121,14 @@
         /// Time until the request may be sent again, in ms; 0 from then on.
         pub wait_ms: u64,
         /// Whether all of the crashes are confirmed.
-        pub is_certain: bool,
+        pub is_confirmed: bool,
     }
 }
 
 impl Reason {
     /// Returns the time after which a retry is worthwhile, in ms.
     pub fn retry_after_ms(&self) -> u64 {
-        match self.is_certain {
+        match self.is_confirmed {
             true => self.wait_ms.max(TRIAL_INTERVAL_MS as u64),
             false => self.wait_ms,
         }
@@ -165,7 +165,7 @@
 impl Quarantine {
     /// Records a crash. Returns the number of confirmed crashes of its
     /// request, or `None` if the crash is not new.
-    pub fn crash(
+    pub fn record_crash(
         &mut self,
         now: i64,
         crash: Crash,
@@ -199,7 +199,7 @@
 
     /// Records a suspected crash. Returns the number of confirmed and
     /// suspected crashes of its request, or `None` if the crash is not new.
-    pub fn suspect(
+    pub fn record_suspected_crash(
         &mut self,
         now: i64,
         crash: Crash,
@@ -266,7 +266,7 @@
 
     /// Records a success. Returns the number of crashes that it clears, if
     /// any.
-    pub fn succeed(
+    pub fn record_success(
         &mut self,
         now: i64,
         success: Success,
@@ -297,7 +297,7 @@
 
     /// Returns why a request is quarantined, if it is. `replicas` returns the
     /// number of replicas of its service.
-    pub fn keeps(
+    pub fn quarantine_reason(
         &self,
         now: i64,
         fingerprint: u64,
@@ -309,7 +309,7 @@
         let suspected: Vec<&Crash> = suspected
             .filter(|crash| now < crash.at + SUSPICION_TIMEOUT_MS)
             .collect();
-        if record.crashes.len() + suspected.len() < CRASHES {
+        if record.crashes.len() + suspected.len() < QUARANTINE_CRASHES {
             return None;
         }
         let outage_size = Quarantine::min_outage_replicas(replicas());
@@ -318,7 +318,7 @@
         let confirmed =
             record.crashes.iter().filter(|crash| counts(crash)).count();
         let age_ms = |at: i64| (now - at).max(0) as u64;
-        if confirmed >= CRASHES {
+        if confirmed >= QUARANTINE_CRASHES {
             let last = record.crashes.last()?;
             let wait_ms =
                 (last.at + quarantine_ms(confirmed) - now).max(0) as u64;
@@ -326,7 +326,7 @@
                 crashes: confirmed,
                 age_ms: age_ms(last.at),
                 wait_ms,
-                is_certain: true,
+                is_confirmed: true,
             });
         }
         let mut suspected: Vec<i64> = suspected
@@ -337,13 +337,14 @@
         suspected.sort_unstable();
         // The request is released once enough suspicions have timed out to
         // leave fewer crashes than the threshold.
-        let excess = (confirmed + suspected.len()).checked_sub(CRASHES)?;
+        let excess =
+            (confirmed + suspected.len()).checked_sub(QUARANTINE_CRASHES)?;
         let until = suspected[excess] + SUSPICION_TIMEOUT_MS;
         Some(Reason {
             crashes: confirmed + suspected.len(),
             age_ms: age_ms(*suspected.last()?),
             wait_ms: (until - now).max(0) as u64,
-            is_certain: false,
+            is_confirmed: false,
         })
     }
 
@@ -353,14 +354,14 @@
     /// `rank` is the number of nodes that come before this one. Each node
     /// waits for the one before it, so that a request that still crashes
     /// replicas crashes one replica in total, not one for each node.
-    pub fn try_again(
+    pub fn grant_trial(
         &mut self,
         now: i64,
         fingerprint: u64,
         reason: Reason,
         rank: usize,
     ) -> bool {
-        if !reason.is_certain {
+        if !reason.is_confirmed {
             return false;
         }
         let Ok(at) = self.find(&fingerprint) else { return false };
@@ -393,7 +394,7 @@
     }
 
     /// Returns the number of remembered successes.
-    pub fn remembered(&self) -> usize {
+    pub fn count_successes(&self) -> usize {
         self.recent_successes.count()
     }
 
@@ -452,6 +453,6 @@
 
 /// Returns how long a request with this many crashes is quarantined, in ms.
 fn quarantine_ms(crashes: usize) -> i64 {
-    let excess = crashes.saturating_sub(CRASHES);
+    let excess = crashes.saturating_sub(QUARANTINE_CRASHES);
     (QUARANTINE_MS << excess).min(MAX_QUARANTINE_MS)
 }
--- a/src/decide/quarantine/outage.rs
+++ b/src/decide/quarantine/outage.rs
@@ -5,7 +5,7 @@
 //! crash together, and no other request that crashes replicas one after the
 //! other explains it.
 
-use super::{CRASHES, Crash, Quarantine, record::Record};
+use super::{Crash, QUARANTINE_CRASHES, Quarantine, record::Record};
 
 /// Replicas that crash within this time of each other crash together, in ms:
 /// nodes notice such crashes one after the other.
@@ -99,7 +99,7 @@
         let records = self.records.iter();
         let mut replicas: Vec<u64> = records
             .filter(|record| record.fingerprint != fingerprint)
-            .filter(|record| record.count_crash_times() >= CRASHES)
+            .filter(|record| record.count_crash_times() >= QUARANTINE_CRASHES)
             .flat_map(|record| record.all_crashes().map(|crash| crash.replica))
             .collect();
         replicas.sort_unstable();
--- a/src/decide/quarantine/word.rs
+++ b/src/decide/quarantine/word.rs
@@ -27,7 +27,7 @@
 common! {
     /// Reports for other nodes.
     #[derive(Default)]
-    pub struct Word {
+    pub struct Report {
         /// Confirmed crashes.
         pub crashes: Vec<Crash>,
         /// Suspected crashes.
@@ -40,7 +40,7 @@
 impl Quarantine {
     /// Returns the reports for the next datagrams: new ones, and at intervals
     /// the crashes of requests with several crashes.
-    pub fn tell(&mut self, now: i64) -> Word {
+    pub fn take_reports(&mut self, now: i64) -> Report {
         self.crash_reports.retain(|(at, _)| now < at + NEW_REPORT_MS);
         self.success_reports.retain(|(at, _)| now < at + NEW_REPORT_MS);
         self.suspicion_reports.retain(|(at, _)| now < at + NEW_REPORT_MS);
@@ -68,12 +68,12 @@
         }
         let newest = self.success_reports.iter().rev().take(MAX_NEW_REPORTS);
         let successes = newest.map(|(_, success)| *success).collect();
-        Word { crashes, suspected, successes }
+        Report { crashes, suspected, successes }
     }
 
     /// Returns what a node that starts needs to know, and what is stored on
     /// disk.
-    pub fn several(&self) -> Word {
+    pub fn snapshot(&self) -> Report {
         let records = self.records.iter();
         let mut several: Vec<&Record> = records
             .filter(|record| record.crashes.len() >= MIN_REPEATED_CRASHES)
@@ -84,7 +84,7 @@
             .take(MAX_STORED_REQUESTS)
             .flat_map(|record| record.crashes.iter().copied())
             .collect();
-        Word { crashes, suspected: Vec::new(), successes: Vec::new() }
+        Report { crashes, suspected: Vec::new(), successes: Vec::new() }
     }
 
     pub(super) fn report_success(&mut self, now: i64, success: Success) {
--- a/src/entry/suspects.rs
+++ b/src/entry/suspects.rs
@@ -49,7 +49,7 @@
         let replica = mix(name_hash(&endpoint.id) ^ endpoint.incarnation);
         let crash = Crash { fingerprint, replica, at: now };
         let mut quarantine = self.quarantine();
-        let crashes = quarantine.crash(now, crash, Source::Other);
+        let crashes = quarantine.record_crash(now, crash, Source::Other);
         quarantine.expire(now);
         warn!(
             target: "entry",
@@ -64,7 +64,7 @@
     pub fn note_success(&self, fingerprint: u64) {
         let now = self.now() as i64;
         let success = Success { fingerprint, at: now };
-        self.quarantine().succeed(now, success, Source::Other);
+        self.quarantine().record_success(now, success, Source::Other);
     }
 
     /// Refuses a request that ends the endpoints that run it, unless it is time
@@ -80,7 +80,7 @@
         let now = self.now() as i64;
         let mut quarantine = self.quarantine();
         // Nobody else tries it: entries don't tell each other.
-        if quarantine.try_again(now, fingerprint, reason, 0) {
+        if quarantine.grant_trial(now, fingerprint, reason, 0) {
             return Ok(());
         }
         Err(Refusal::later(told(reason), reason.retry_after_ms()))
@@ -97,7 +97,7 @@
             let mut fleet = self.fleet();
             fleet.pool(service).map_or(0, |pool| pool.len())
         };
-        self.quarantine().keeps(now, fingerprint, endpoints)
+        self.quarantine().quarantine_reason(now, fingerprint, endpoints)
     }
 }
 
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -16,7 +16,7 @@
 };
 use crate::{
     decide::quarantine::{
-        self, CRASHES, Quarantine, Reason, Source, Success, Word,
+        self, QUARANTINE_CRASHES, Quarantine, Reason, Report, Source, Success,
     },
     fingerprint,
     wire::{self, Crash},
@@ -69,7 +69,8 @@
         source: Source,
     ) -> usize {
         let now = self.signed_now();
-        let count = self.quarantine().suspect(now, crash, source);
+        let count =
+            self.quarantine().record_suspected_crash(now, crash, source);
         let crashes = count.unwrap_or(0);
         if crashes >= MIN_URGENT_CRASHES {
             let fingerprint = fingerprint::shown(crash.fingerprint);
@@ -98,7 +99,7 @@
     /// known now, or 0 if this one was known already.
     fn record_crash(&self, crash: quarantine::Crash, source: Source) -> usize {
         let now = self.signed_now();
-        let count = self.quarantine().crash(now, crash, source);
+        let count = self.quarantine().record_crash(now, crash, source);
         let crashes = count.unwrap_or(0);
         if crashes >= MIN_URGENT_CRASHES {
             let fingerprint = fingerprint::shown(crash.fingerprint);
@@ -109,7 +110,7 @@
                 "Request was in flight at replicas that crashed."
             );
         }
-        if crashes == CRASHES {
+        if crashes == QUARANTINE_CRASHES {
             self.metrics.suspects.inc();
         }
         crashes
@@ -123,7 +124,7 @@
 
     fn clear(&self, success: Success, source: Source) {
         let now = self.signed_now();
-        let cleared = self.quarantine().succeed(now, success, source);
+        let cleared = self.quarantine().record_success(now, success, source);
         // A request with a single crash is nearly always a bystander.
         if cleared.is_some_and(|crashes| crashes >= MIN_URGENT_CRASHES) {
             let fingerprint = fingerprint::shown(success.fingerprint);
@@ -160,7 +161,7 @@
             });
         }
         let replicas = || self.fleet().load(service).0;
-        quarantine.keeps(self.signed_now(), fingerprint, replicas)
+        quarantine.quarantine_reason(self.signed_now(), fingerprint, replicas)
     }
 
     /// Refuses a quarantined request, unless this node grants it a trial now.
@@ -180,7 +181,7 @@
             _ => 0,
         };
         let mut quarantine = self.quarantine();
-        let is_trial = quarantine.try_again(now, fingerprint, reason, rank);
+        let is_trial = quarantine.grant_trial(now, fingerprint, reason, rank);
         drop(quarantine);
         if is_trial {
             info!(
@@ -203,18 +204,18 @@
     /// Returns the reports for the next datagrams to other nodes.
     pub(super) fn crash_reports(&self) -> CrashReports {
         let now = self.signed_now();
-        let report = self.quarantine().tell(now);
+        let report = self.quarantine().take_reports(now);
         self.to_wire(report)
     }
 
     /// Returns the crashes of requests with several crashes, for a node that
     /// starts and for the disk.
     pub fn repeated_crashes(&self) -> Vec<Crash> {
-        let report = self.quarantine().several();
+        let report = self.quarantine().snapshot();
         self.to_wire(report).crashes
     }
 
-    fn to_wire(&self, report: Word) -> CrashReports {
+    fn to_wire(&self, report: Report) -> CrashReports {
         let now = self.signed_now();
         let age_ms = |at: i64| (now - at).clamp(0, u32::MAX.into()) as u32;
         let with_ages = |crashes: Vec<quarantine::Crash>| {
--- a/tests/all/quarantine.rs
+++ b/tests/all/quarantine.rs
@@ -1,7 +1,7 @@
 //! Tests which requests are quarantined, without any I/O.
 
 use azuremount::decide::quarantine::{
-    Crash, Quarantine, Reason, Source, Success, Word,
+    Crash, Quarantine, Reason, Report, Source, Success,
 };
 
 use crate::fixed_seeds;
@@ -25,7 +25,11 @@
     requests: &[u64],
 ) {
     for &fingerprint in requests {
-        quarantine.crash(at, crash(fingerprint, replica, at), Source::Own);
+        quarantine.record_crash(
+            at,
+            crash(fingerprint, replica, at),
+            Source::Own,
+        );
     }
 }
 
@@ -34,7 +38,7 @@
     now: i64,
     fingerprint: u64,
 ) -> Option<Reason> {
-    quarantine.keeps(now, fingerprint, || REPLICAS)
+    quarantine.quarantine_reason(now, fingerprint, || REPLICAS)
 }
 
 /// Guards against a request that crashes one replica after the other. Three
@@ -72,10 +76,10 @@
     }
     let reason = quarantine_reason(&nodes[0], START_MS, 7).unwrap();
     let due = START_MS + reason.wait_ms as i64;
-    assert!(!nodes[0].try_again(due - 1, 7, reason, 0));
+    assert!(!nodes[0].grant_trial(due - 1, 7, reason, 0));
     let reason = quarantine_reason(&nodes[0], due, 7).unwrap();
     let grants_trial = |quarantine: &mut Quarantine, at, rank| {
-        quarantine.try_again(at, 7, reason, rank)
+        quarantine.grant_trial(at, 7, reason, rank)
     };
     assert!(grants_trial(&mut nodes[0], due, 0));
     assert!(!grants_trial(&mut nodes[0], due + 1000, 0), "two trials at once");
@@ -93,7 +97,7 @@
     // The request succeeds, which ends its quarantine.
     let at = due + 6500;
     let success = Success { fingerprint: 7, at };
-    assert_eq!(nodes[2].succeed(at, success, Source::Other), Some(3));
+    assert_eq!(nodes[2].record_success(at, success, Source::Other), Some(3));
     assert_eq!(quarantine_reason(&nodes[2], at, 7), None);
 }
 
@@ -168,7 +172,7 @@
         crash_replica(&mut quarantine, replica, at, &[7]);
         let success = Success { fingerprint: 7, at: at + 200 };
         assert_eq!(
-            quarantine.succeed(at + 200, success, Source::Own),
+            quarantine.record_success(at + 200, success, Source::Own),
             Some(1)
         );
         assert_eq!(quarantine_reason(&quarantine, at + 300, 7), None);
@@ -176,13 +180,13 @@
     // A late report of an earlier crash changes nothing. The node that sent it
     // receives a report of the success.
     let (now, late) = (START_MS + 6000, crash(7, 50, START_MS + 5100));
-    assert_eq!(quarantine.crash(now, late, Source::Other), None);
-    assert_eq!(quarantine.tell(now + 2000).successes, []);
-    assert_eq!(quarantine.crash(now + 2000, late, Source::Other), None);
-    assert_eq!(quarantine.tell(now + 2000).successes.len(), 1);
+    assert_eq!(quarantine.record_crash(now, late, Source::Other), None);
+    assert_eq!(quarantine.take_reports(now + 2000).successes, []);
+    assert_eq!(quarantine.record_crash(now + 2000, late, Source::Other), None);
+    assert_eq!(quarantine.take_reports(now + 2000).successes.len(), 1);
     // A request that was never in flight at a crash leaves no record.
     let success = Success { fingerprint: 8, at: now };
-    assert_eq!(quarantine.succeed(now, success, Source::Own), None);
+    assert_eq!(quarantine.record_success(now, success, Source::Own), None);
     assert_eq!(quarantine.len(), 1);
 }
 
@@ -192,15 +196,15 @@
     let mut quarantine = Quarantine::default();
     let now = START_MS + 900;
     assert_eq!(
-        quarantine.crash(START_MS, crash(7, 1, START_MS), Source::Own),
+        quarantine.record_crash(START_MS, crash(7, 1, START_MS), Source::Own),
         Some(1)
     );
     assert_eq!(
-        quarantine.crash(now, crash(7, 1, START_MS + 4), Source::Other),
+        quarantine.record_crash(now, crash(7, 1, START_MS + 4), Source::Other),
         None
     );
     assert_eq!(
-        quarantine.crash(now, crash(7, 1, START_MS - 3), Source::Other),
+        quarantine.record_crash(now, crash(7, 1, START_MS - 3), Source::Other),
         None
     );
     assert_eq!(quarantine_reason(&quarantine, now, 7), None);
@@ -216,7 +220,8 @@
     }
     for round in 0..4 {
         let now = START_MS + 300 * (round + 1);
-        let reports = nodes.each_mut().map(|quarantine| quarantine.tell(now));
+        let reports =
+            nodes.each_mut().map(|quarantine| quarantine.take_reports(now));
         for (from, report) in reports.iter().enumerate() {
             for (to, quarantine) in nodes.iter_mut().enumerate() {
                 let is_lost = from == 1 && round < 2;
@@ -224,7 +229,7 @@
                     continue;
                 }
                 for crash in &report.crashes {
-                    quarantine.crash(now, *crash, Source::Other);
+                    quarantine.record_crash(now, *crash, Source::Other);
                 }
             }
         }
@@ -234,8 +239,8 @@
     }
     // A node that starts later learns of the crashes from any node.
     let mut late = Quarantine::default();
-    for crash in nodes[0].tell(START_MS + 10_000).crashes {
-        late.crash(START_MS + 10_000, crash, Source::Other);
+    for crash in nodes[0].take_reports(START_MS + 10_000).crashes {
+        late.record_crash(START_MS + 10_000, crash, Source::Other);
     }
     assert!(quarantine_reason(&late, START_MS + 10_000, 7).is_some());
 }
@@ -263,7 +268,7 @@
         );
     }
     assert!(quarantine.len() <= 2048, "{}", quarantine.len());
-    let report = quarantine.tell(START_MS + 2500);
+    let report = quarantine.take_reports(START_MS + 2500);
     assert!(report.crashes.len() <= 64 + 4 * 8, "{}", report.crashes.len());
     assert!(quarantine_reason(&quarantine, START_MS + 3000, 7).is_some());
     quarantine.expire(START_MS + 3 * BEYOND_QUARANTINE_MS);
@@ -285,13 +290,14 @@
         crash_replica(&mut quarantine, 10, START_MS, &[bystander]);
         crash_replica(&mut quarantine, 11, START_MS, &[bystander]);
     }
-    let is_reported = |report: &Word| {
+    let is_reported = |report: &Report| {
         report.crashes.iter().any(|crash| crash.fingerprint == u64::MAX)
     };
-    assert!(is_reported(&quarantine.several()));
+    assert!(is_reported(&quarantine.snapshot()));
     let after = START_MS + 2000;
-    let reported = (0..30)
-        .any(|round| is_reported(&quarantine.tell(after + 300 * round)));
+    let reported = (0..30).any(|round| {
+        is_reported(&quarantine.take_reports(after + 300 * round))
+    });
     assert!(reported, "not reported within nine seconds");
 }
 
@@ -311,10 +317,10 @@
         let mut repeated = Quarantine::default();
         let now = START_MS + 1000;
         for crash in &crashes {
-            once.crash(now, *crash, Source::Other);
+            once.record_crash(now, *crash, Source::Other);
         }
         for crash in crashes.iter().rev().chain(&crashes) {
-            repeated.crash(now, *crash, Source::Other);
+            repeated.record_crash(now, *crash, Source::Other);
         }
         for fingerprint in 1..=3 {
             let reason = quarantine_reason(&once, now, fingerprint);
@@ -334,19 +340,22 @@
         let late = 400 * replica as i64;
         // Another node sent the request to the replica when it was already
         // down, and its report arrives first.
-        quarantine.crash(
+        quarantine.record_crash(
             START_MS + 3000,
             crash(7, replica, START_MS + late),
             Source::Other,
         );
-        quarantine.crash(
+        quarantine.record_crash(
             START_MS + 3000,
             crash(7, replica, START_MS),
             Source::Other,
         );
     }
     let replicas = || 12;
-    assert_eq!(quarantine.keeps(START_MS + 3000, 7, replicas), None);
+    assert_eq!(
+        quarantine.quarantine_reason(START_MS + 3000, 7, replicas),
+        None
+    );
 }
 
 /// Guards against counting crashes against a request that was sent only after
@@ -386,20 +395,20 @@
     let mut quarantine = Quarantine::default();
     for at in (START_MS..START_MS + 2500).step_by(100) {
         let success = Success { fingerprint: 7, at };
-        quarantine.succeed(at, success, Source::Own);
+        quarantine.record_success(at, success, Source::Own);
     }
     for replica in 0..6 {
         let at = START_MS + 400 * replica as i64;
         let crash = crash(7, replica, at);
         assert_eq!(
-            quarantine.crash(START_MS + 3000, crash, Source::Own),
+            quarantine.record_crash(START_MS + 3000, crash, Source::Own),
             None
         );
         // Nodes that have not seen a success receive a report of it.
-        quarantine.crash(START_MS + 3000, crash, Source::Other);
+        quarantine.record_crash(START_MS + 3000, crash, Source::Other);
     }
     assert_eq!(quarantine_reason(&quarantine, START_MS + 3000, 7), None);
-    assert_eq!(quarantine.tell(START_MS + 3000).successes.len(), 1);
+    assert_eq!(quarantine.take_reports(START_MS + 3000).successes.len(), 1);
 }
 
 /// Guards against memory that grows with the number of successful requests.
@@ -409,11 +418,15 @@
     for request in 0..100_000 {
         let at = START_MS + request as i64 / 10;
         let success = Success { fingerprint: request, at };
-        quarantine.succeed(at, success, Source::Own);
+        quarantine.record_success(at, success, Source::Own);
     }
-    assert!(quarantine.remembered() <= 8192, "{}", quarantine.remembered());
+    assert!(
+        quarantine.count_successes() <= 8192,
+        "{}",
+        quarantine.count_successes()
+    );
     quarantine.expire(START_MS + BEYOND_QUARANTINE_MS);
-    assert_eq!(quarantine.remembered(), 0);
+    assert_eq!(quarantine.count_successes(), 0);
     // A success in the distant past does not clear current crashes.
     let now = START_MS + BEYOND_QUARANTINE_MS;
     for replica in 0..3 {
@@ -442,7 +455,8 @@
     }
     let replicas = || 12;
     for request in 0..4 {
-        let reason = quarantine.keeps(START_MS + 3000, request, replicas);
+        let reason =
+            quarantine.quarantine_reason(START_MS + 3000, request, replicas);
         assert!(reason.is_some(), "request {request}");
     }
 }
@@ -459,7 +473,9 @@
         }
     }
     let replicas = || 8;
-    assert!(quarantine.keeps(START_MS + 3000, 7, replicas).is_some());
+    assert!(
+        quarantine.quarantine_reason(START_MS + 3000, 7, replicas).is_some()
+    );
 }
 
 /// Guards against requests that crash replicas in step and so look like an
@@ -475,7 +491,8 @@
     }
     let replicas = || 12;
     for request in 0..4 {
-        let reason = quarantine.keeps(START_MS + 3000, request, replicas);
+        let reason =
+            quarantine.quarantine_reason(START_MS + 3000, request, replicas);
         assert!(reason.is_some(), "request {request}");
     }
 }
@@ -488,19 +505,27 @@
     for replica in 0..3 {
         let at = START_MS + 300 * replica as i64;
         let crash = crash(7, replica, at);
-        assert!(quarantine.suspect(at + 20, crash, Source::Own).is_some());
+        assert!(
+            quarantine
+                .record_suspected_crash(at + 20, crash, Source::Own)
+                .is_some()
+        );
     }
     let now = START_MS + 700;
     let reason = quarantine_reason(&quarantine, now, 7).unwrap();
-    assert!(!reason.is_certain);
+    assert!(!reason.is_confirmed);
     assert!(reason.wait_ms > 0 && reason.retry_after_ms() == reason.wait_ms);
-    assert!(!quarantine.try_again(now + 60_000, 7, reason, 0));
-    assert_eq!(quarantine.tell(now).suspected.len(), 3);
-    assert_eq!(quarantine.several(), Word::default());
+    assert!(!quarantine.grant_trial(now + 60_000, 7, reason, 0));
+    assert_eq!(quarantine.take_reports(now).suspected.len(), 3);
+    assert_eq!(quarantine.snapshot(), Report::default());
     // One of the replicas is heard, so it has not crashed.
     let mut heard = Quarantine::default();
     for replica in 0..3 {
-        heard.suspect(now, crash(7, replica, START_MS), Source::Other);
+        heard.record_suspected_crash(
+            now,
+            crash(7, replica, START_MS),
+            Source::Other,
+        );
     }
     heard.withdraw(7, |replica, _| replica == 2);
     assert_eq!(quarantine_reason(&heard, now, 7), None);
@@ -510,8 +535,12 @@
     // Confirmed crashes remain, and none counts twice.
     for replica in 0..3 {
         let at = START_MS + 300 * replica as i64;
-        quarantine.crash(START_MS + 3000, crash(7, replica, at), Source::Own);
+        quarantine.record_crash(
+            START_MS + 3000,
+            crash(7, replica, at),
+            Source::Own,
+        );
     }
     let reason = quarantine_reason(&quarantine, START_MS + 3100, 7).unwrap();
-    assert_eq!((reason.crashes, reason.is_certain), (3, true));
+    assert_eq!((reason.crashes, reason.is_confirmed), (3, true));
 }
