--- a/src/decide/rate_limit.rs
+++ b/src/decide/rate_limit.rs
@@ -3,7 +3,7 @@
 //! A replica under pressure announces the number of requests a second that it
 //! accepts from all nodes together. It repeats the limit in each answer until
 //! it recovers. Answers can overtake each other, and other nodes forward the
-//! limits that they received, so each [`Statement`] carries the time from
+//! limits that they received, so each [`Observation`] carries the time from
 //! which it is known to hold, and the newest one wins:
 //!
 //! - A limit holds from the time at which the answer with it arrived.
@@ -50,15 +50,15 @@
 /// this node, in ms. The replica may have been silent, or this node may have
 /// just started.
 const UNKNOWN_REPLICA_RETENTION_MS: i64 = 60_000;
-/// Time for which a new statement is sent with every datagram, in ms: four
+/// Time for which a new observation is sent with every datagram, in ms: four
 /// rounds of the mesh, as a datagram may be lost.
-const NEW_STATEMENT_MS: i64 = 1300;
-/// Maximum number of statements in one datagram, at some 20 bytes each.
-const MAX_DATAGRAM_STATEMENTS: usize = 32;
+const NEW_OBSERVATION_MS: i64 = 1300;
+/// Maximum number of observations in one datagram, at some 20 bytes each.
+const MAX_DATAGRAM_OBSERVATIONS: usize = 32;
 
 /// The rate limit of one replica, as of one point in time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Statement {
+pub struct Observation {
     /// Hash of the replica's ID.
     pub replica: u64,
     /// Requests a second that the replica accepts from all nodes together;
@@ -68,7 +68,7 @@
     pub at: i64,
 }
 
-/// The effect of a new statement.
+/// The effect of a new observation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Change {
     /// Rate that was known before; `None` without a limit.
@@ -77,7 +77,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Record {
-    statement: Statement,
+    observation: Observation,
     /// Time at which this node learned of the rate, in ms.
     learned_at: i64,
 }
@@ -85,31 +85,35 @@
 /// Known rate limits of the replicas of all services.
 #[derive(Debug, Default)]
 pub struct RateLimits {
-    /// Newest statement on each replica that has announced a limit, sorted by
+    /// Newest observation on each replica that has announced a limit, sorted by
     /// replica.
     records: Vec<Record>,
     next_index: usize,
 }
 
 impl RateLimits {
-    /// Records a statement. Returns the change, if the rate has changed.
+    /// Records an observation. Returns the change, if the rate has changed.
     ///
     /// The absence of a limit is not recorded for a replica that has never
     /// announced one.
-    pub fn note(&mut self, now: i64, statement: Statement) -> Option<Change> {
-        let record = Record { statement, learned_at: now };
-        match self.find(statement.replica) {
-            Ok(at) if self.records[at].statement.at < statement.at => {
-                let before = self.records[at].statement.rate;
-                if before == statement.rate {
-                    self.records[at].statement = statement;
+    pub fn record(
+        &mut self,
+        now: i64,
+        observation: Observation,
+    ) -> Option<Change> {
+        let record = Record { observation, learned_at: now };
+        match self.find(observation.replica) {
+            Ok(at) if self.records[at].observation.at < observation.at => {
+                let before = self.records[at].observation.rate;
+                if before == observation.rate {
+                    self.records[at].observation = observation;
                     return None;
                 }
                 self.records[at] = record;
                 Some(Change { before })
             }
             Ok(_) => None,
-            Err(_) if statement.rate.is_none() => None,
+            Err(_) if observation.rate.is_none() => None,
             Err(at) => {
                 self.records.insert(at, record);
                 Some(Change { before: None })
@@ -120,14 +124,15 @@
     /// Returns the limit of a replica in requests a second, if it has one.
     pub fn rate(&self, replica: u64) -> Option<f32> {
         let found = self.find(replica).ok();
-        found.and_then(|at| self.records[at].statement.rate)
+        found.and_then(|at| self.records[at].observation.rate)
     }
 
     /// Returns the replicas that have a limit, with their rates, sorted by
     /// replica.
     pub fn limited(&self) -> impl Iterator<Item = (u64, f32)> + '_ {
-        self.statements()
-            .filter_map(|statement| Some((statement.replica, statement.rate?)))
+        self.observations().filter_map(|observation| {
+            Some((observation.replica, observation.rate?))
+        })
     }
 
     /// Returns whether no replica has a limit.
@@ -135,47 +140,49 @@
         self.limited().next().is_none()
     }
 
-    /// Returns the statements for the next datagram: all new ones, up to the
+    /// Returns the observations for the next datagram: all new ones, up to the
     /// maximum, and some of the others in turn.
-    pub fn tell(&mut self, now: i64) -> Vec<Statement> {
+    pub fn take_reports(&mut self, now: i64) -> Vec<Observation> {
         let is_new =
-            |record: &&Record| now < record.learned_at + NEW_STATEMENT_MS;
+            |record: &&Record| now < record.learned_at + NEW_OBSERVATION_MS;
         let new =
-            self.records.iter().filter(is_new).take(MAX_DATAGRAM_STATEMENTS);
-        let mut sent: Vec<Statement> =
-            new.map(|record| record.statement).collect();
-        let rest: Vec<Statement> = self
+            self.records.iter().filter(is_new).take(MAX_DATAGRAM_OBSERVATIONS);
+        let mut sent: Vec<Observation> =
+            new.map(|record| record.observation).collect();
+        let rest: Vec<Observation> = self
             .records
             .iter()
             .filter(|record| !is_new(record))
-            .map(|record| record.statement)
+            .map(|record| record.observation)
             .collect();
-        let count = rest.len().min(MAX_DATAGRAM_STATEMENTS - sent.len());
+        let count = rest.len().min(MAX_DATAGRAM_OBSERVATIONS - sent.len());
         let start = self.next_index;
         sent.extend((0..count).map(|step| rest[(start + step) % rest.len()]));
         self.next_index = start.wrapping_add(count);
         sent
     }
 
-    /// Returns all statements, for a node that starts.
-    pub fn statements(&self) -> impl Iterator<Item = Statement> + '_ {
-        self.records.iter().map(|record| record.statement)
+    /// Returns all observations, for a node that starts.
+    pub fn observations(&self) -> impl Iterator<Item = Observation> + '_ {
+        self.records.iter().map(|record| record.observation)
     }
 
     /// Removes ended limits, and limits of unknown replicas, when their
     /// retention time has passed.
     pub fn expire(&mut self, now: i64, is_known: impl Fn(u64) -> bool) {
-        self.records.retain(|Record { statement, .. }| match statement.rate {
-            None => now < statement.at + LIFTED_LIMIT_RETENTION_MS,
-            Some(_) => {
-                now < statement.at + UNKNOWN_REPLICA_RETENTION_MS
-                    || is_known(statement.replica)
+        self.records.retain(|Record { observation, .. }| {
+            match observation.rate {
+                None => now < observation.at + LIFTED_LIMIT_RETENTION_MS,
+                Some(_) => {
+                    now < observation.at + UNKNOWN_REPLICA_RETENTION_MS
+                        || is_known(observation.replica)
+                }
             }
         });
     }
 
     fn find(&self, replica: u64) -> Result<usize, usize> {
-        position(&self.records, &replica, |record| &record.statement.replica)
+        position(&self.records, &replica, |record| &record.observation.replica)
     }
 }
 
@@ -191,7 +198,7 @@
 
 /// One node's share of a replica's rate limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Part {
+pub struct Allocation {
     /// Hash of the replica's ID.
     pub replica: u64,
     /// Requests a second that the replica accepts from all nodes together.
@@ -203,33 +210,33 @@
 /// Token bucket for the requests that one node may send to one replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bucket {
-    part: Part,
+    allocation: Allocation,
     level: f32,
     filled_at: u64,
 }
 
 impl Bucket {
     /// Creates an empty bucket.
-    pub fn open(now: u64, part: Part) -> Bucket {
-        Bucket { part, level: 0.0, filled_at: now }
+    pub fn open(now: u64, allocation: Allocation) -> Bucket {
+        Bucket { allocation, level: 0.0, filled_at: now }
     }
 
     /// Updates the limit and the share. The bucket becomes empty if the old or
     /// the new share is 0.
-    pub fn set(&mut self, now: u64, part: Part) {
-        if self.part.share == 0.0 || part.share == 0.0 {
-            *self = Bucket::open(now, part);
+    pub fn set(&mut self, now: u64, allocation: Allocation) {
+        if self.allocation.share == 0.0 || allocation.share == 0.0 {
+            *self = Bucket::open(now, allocation);
             return;
         }
         self.level = self.level(now);
         self.filled_at = now;
-        self.part = part;
+        self.allocation = allocation;
     }
 
     /// Returns the requests a second that the replica accepts from all nodes
     /// together.
     pub fn limit(&self) -> f32 {
-        self.part.limit
+        self.allocation.limit
     }
 
     /// Returns whether a request may be sent.
@@ -250,7 +257,7 @@
 
     fn level(&self, now: u64) -> f32 {
         let elapsed_s = now.saturating_sub(self.filled_at) as f32 / 1000.0;
-        let capacity = 1.0 + self.part.share * BURST_S;
-        (self.level + elapsed_s * self.part.share).min(capacity)
+        let capacity = 1.0 + self.allocation.share * BURST_S;
+        (self.level + elapsed_s * self.allocation.share).min(capacity)
     }
 }
--- a/src/decide/route/mod.rs
+++ b/src/decide/route/mod.rs
@@ -38,7 +38,7 @@
 use self::{replica::Replica, weights::MIN_FETCH_TOKENS};
 use super::{
     prefix::Index,
-    rate_limit::{Bucket, Part},
+    rate_limit::{Allocation, Bucket},
 };
 use crate::util::{common, position};
 
@@ -311,7 +311,7 @@
 
     /// Sets this entry's shares of the replicas' rate limits, sorted by
     /// replica. Replicas without a share have no rate limit.
-    pub fn set_rate_limits(&mut self, now: u64, parts: &[Part]) {
+    pub fn set_rate_limits(&mut self, now: u64, parts: &[Allocation]) {
         for replica in &mut self.replicas {
             let found =
                 position(parts, &replica.id_hash, |part| &part.replica);
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -15,7 +15,7 @@
 };
 use crate::{
     decide::{
-        rate_limit::Part,
+        rate_limit::Allocation,
         retry::{Bound, Window},
         route::{
             Availability, Choice, Identity, Policy, Pool, RouteRequest,
@@ -384,7 +384,7 @@
 
     /// Sets this node's shares of the replicas' rate limits, sorted by
     /// replica.
-    pub fn set_rate_limits(&mut self, now: u64, parts: &[Part]) {
+    pub fn set_rate_limits(&mut self, now: u64, parts: &[Allocation]) {
         for service in &mut self.services {
             service.pool.set_rate_limits(now, parts);
         }
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -16,7 +16,7 @@
     fleet::Fleet,
 };
 use crate::{
-    decide::rate_limit::{Part, RateLimits, Statement, share},
+    decide::rate_limit::{Allocation, Observation, RateLimits, share},
     mesh::table::{self, Table},
     util::common,
     wire::RateLimit,
@@ -65,7 +65,7 @@
             }
         };
         let replica = table::replica_hash(replica);
-        let statement = Statement { replica, rate, at: at as i64 };
+        let statement = Observation { replica, rate, at: at as i64 };
         if self.record_statement(statement, Source::Answer) {
             self.update_rate_limit_shares();
             if let Some(mesh) = self.mesh.get() {
@@ -75,10 +75,14 @@
     }
 
     /// Records a statement; returns true if it changes the known rate limit.
-    fn record_statement(&self, statement: Statement, source: Source) -> bool {
+    fn record_statement(
+        &self,
+        statement: Observation,
+        source: Source,
+    ) -> bool {
         let now = self.timer.now() as i64;
         let mut limits = self.rate_limits();
-        let Some(change) = limits.note(now, statement) else { return false };
+        let Some(change) = limits.record(now, statement) else { return false };
         let limited = limits.limited().count();
         drop(limits);
         self.metrics.limited_replicas.set(limited as i64);
@@ -113,13 +117,13 @@
         let now = self.timer.now();
         let mut limits = self.rate_limits();
         limits.expire(now as i64, |replica| fleet.knows(replica));
-        let parts: Vec<Part> = limits
+        let parts: Vec<Allocation> = limits
             .limited()
             .map(|(replica, limit)| {
                 let position = table.place(now, replica);
                 let share = position
                     .map_or(0.0, |(rank, nodes)| share(limit, rank, nodes));
-                Part { replica, limit, share }
+                Allocation { replica, limit, share }
             })
             .collect();
         drop(limits);
@@ -139,7 +143,7 @@
     /// Returns the statements for the next datagrams to other nodes.
     pub(super) fn next_rate_limit_reports(&self) -> Vec<RateLimit> {
         let now = self.timer.now() as i64;
-        let statements = self.rate_limits().tell(now);
+        let statements = self.rate_limits().take_reports(now);
         statements
             .into_iter()
             .map(|statement| to_wire(now, statement))
@@ -150,7 +154,10 @@
     pub fn rate_limit_reports(&self) -> Vec<RateLimit> {
         let now = self.timer.now() as i64;
         let limits = self.rate_limits();
-        limits.statements().map(|statement| to_wire(now, statement)).collect()
+        limits
+            .observations()
+            .map(|statement| to_wire(now, statement))
+            .collect()
     }
 
     /// Receives statements about rate limits from another node.
@@ -159,7 +166,7 @@
         let mut has_changed = false;
         for limit in limits {
             let rate = limit.per_s.filter(|rate| rate.is_finite());
-            let statement = Statement {
+            let statement = Observation {
                 replica: limit.replica,
                 rate: rate.map(|rate| rate.max(0.0)),
                 at: now - i64::from(limit.age_ms),
@@ -172,7 +179,7 @@
     }
 }
 
-fn to_wire(now: i64, statement: Statement) -> RateLimit {
+fn to_wire(now: i64, statement: Observation) -> RateLimit {
     let age_ms = (now - statement.at).clamp(0, u32::MAX.into()) as u32;
     RateLimit { replica: statement.replica, per_s: statement.rate, age_ms }
 }
--- a/tests/all/rate_limits.rs
+++ b/tests/all/rate_limits.rs
@@ -7,7 +7,9 @@
 };
 
 use azuremount::{
-    decide::rate_limit::{Bucket, Change, Part, RateLimits, Statement, share},
+    decide::rate_limit::{
+        Allocation, Bucket, Change, Observation, RateLimits, share,
+    },
     node,
     wire::Sighting,
 };
@@ -225,8 +227,8 @@
     moments.iter().enumerate().map(count).max().unwrap_or(0)
 }
 
-fn statement(rate: Option<f32>, at: i64) -> Statement {
-    Statement { replica: 7, rate, at }
+fn observation(rate: Option<f32>, at: i64) -> Observation {
+    Observation { replica: 7, rate, at }
 }
 
 /// Nodes that always have requests to send, and what each knows of the others.
@@ -248,10 +250,10 @@
 
 impl Simulation {
     fn open(nodes: usize, limit: f32, seed: u64) -> Simulation {
-        let part = Part { replica: 7, limit, share: 0.0 };
+        let allocation = Allocation { replica: 7, limit, share: 0.0 };
         Simulation {
             rng: StdRng::seed_from_u64(seed),
-            nodes: vec![Bucket::open(0, part); nodes],
+            nodes: vec![Bucket::open(0, allocation); nodes],
             runs: vec![(true, None); nodes],
             limit,
         }
@@ -281,8 +283,9 @@
                 true => share(self.limit, rank, seen.len()),
                 false => 0.0,
             };
-            let part = Part { replica: 7, limit: self.limit, share };
-            self.nodes[at].set(now, part);
+            let allocation =
+                Allocation { replica: 7, limit: self.limit, share };
+            self.nodes[at].set(now, allocation);
         }
     }
 
@@ -355,20 +358,20 @@
 #[test]
 fn answers_that_overtake_each_other_do_not_lift_a_limit() {
     let mut limits = RateLimits::default();
-    let announced = limits.note(100, statement(Some(2.0), 100));
+    let announced = limits.record(100, observation(Some(2.0), 100));
     assert_eq!(announced, Some(Change { before: None }));
     // The request was sent before the limit was announced, and answered after
     // it without a limit.
-    assert_eq!(limits.note(110, statement(None, 90)), None);
+    assert_eq!(limits.record(110, observation(None, 90)), None);
     assert_eq!(limits.rate(7), Some(2.0));
     // An outdated report from another node.
-    assert_eq!(limits.note(120, statement(Some(9.0), 80)), None);
+    assert_eq!(limits.record(120, observation(Some(9.0), 80)), None);
     assert_eq!(limits.rate(7), Some(2.0));
-    let ended = limits.note(200, statement(None, 150));
+    let ended = limits.record(200, observation(None, 150));
     assert_eq!(ended, Some(Change { before: Some(2.0) }));
     assert_eq!(limits.rate(7), None);
     // Reports of the earlier limit circulate a while longer.
-    assert_eq!(limits.note(210, statement(Some(2.0), 140)), None);
+    assert_eq!(limits.record(210, observation(Some(2.0), 140)), None);
     assert!(limits.is_empty());
 }
 
@@ -377,11 +380,11 @@
 #[test]
 fn limits_are_kept_as_long_as_their_replicas() {
     let mut limits = RateLimits::default();
-    limits.note(0, statement(Some(0.1), 0));
+    limits.record(0, observation(Some(0.1), 0));
     limits.expire(3_600_000, |_| true);
     assert_eq!(limits.rate(7), Some(0.1));
     limits.expire(3_600_000, |_| false);
-    assert!(limits.is_empty() && limits.statements().next().is_none());
+    assert!(limits.is_empty() && limits.observations().next().is_none());
 }
 
 /// Guards against a replica that accepts no requests, so that its nodes never
@@ -398,12 +401,12 @@
 fn all_limits_are_reported_in_turn() {
     let mut limits = RateLimits::default();
     for replica in 0..100 {
-        let statement = Statement { replica, rate: Some(1.0), at: 0 };
-        limits.note(0, statement);
+        let observation = Observation { replica, rate: Some(1.0), at: 0 };
+        limits.record(0, observation);
     }
     let mut reported: Vec<u64> = (0..4)
-        .flat_map(|_| limits.tell(10_000))
-        .map(|statement| statement.replica)
+        .flat_map(|_| limits.take_reports(10_000))
+        .map(|observation| observation.replica)
         .collect();
     reported.sort_unstable();
     reported.dedup();
