--- a/src/decide/quota/mod.rs
+++ b/src/decide/quota/mod.rs
@@ -122,7 +122,7 @@
     filled_at: u64,
     opened_at: u64,
     /// Mean propagation delay of reports in ms, as of the last request.
-    lag_ms: f64,
+    propagation_delay_ms: f64,
     /// Whether the use before this bucket was opened is unknown.
     is_joining: bool,
     /// Rate of use by other nodes, in units per ms, at the time this node
@@ -167,9 +167,9 @@
     /// 1.
     pub heard: f64,
     /// Mean propagation delay until another node's use is known here, in ms.
-    pub lag_ms: f64,
+    pub propagation_delay_ms: f64,
     /// Number of nodes that serve.
-    pub entries: usize,
+    pub nodes: usize,
     /// Units by which use may exceed the quota.
     pub tolerance: f64,
 }
@@ -179,7 +179,8 @@
     /// reports, in units, at a flood with an excess of `quotas` times the
     /// quota.
     fn unreported_excess(&self, quotas: f64) -> f64 {
-        let delay_ms = (self.lag_ms - MEAN_ROUND_DELAY_MS).max(0.0);
+        let delay_ms =
+            (self.propagation_delay_ms - MEAN_ROUND_DELAY_MS).max(0.0);
         self.rate * delay_ms / 1000.0 * quotas
     }
 
@@ -200,7 +201,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tolerance {
     /// Fraction of what the quota allows in a window.
-    pub part: f64,
+    pub fraction: f64,
     /// Additional units.
     pub units: f64,
     /// Length of the window, in ms.
@@ -212,7 +213,7 @@
     /// and a bucket of `burst` units.
     pub fn units(&self, rate: f64, burst: f64) -> f64 {
         let allowed = rate * self.window_ms / 1000.0 + burst;
-        allowed * self.part + self.units
+        allowed * self.fraction + self.units
     }
 }
 
@@ -256,7 +257,7 @@
             level: allowance.burst,
             filled_at: now,
             opened_at: now,
-            lag_ms: allowance.lag_ms,
+            propagation_delay_ms: allowance.propagation_delay_ms,
             is_joining: false,
             learned_rate: None,
             peers: Vec::new(),
@@ -291,7 +292,7 @@
     pub fn level(&mut self, now: u64, allowance: Allowance) -> Option<Level> {
         self.fill(now, allowance);
         let knows = now >= self.settled_at() || self.learned_rate.is_some();
-        let unseen = self.peers_rate * allowance.lag_ms;
+        let unseen = self.peers_rate * allowance.propagation_delay_ms;
         knows.then_some(Level {
             units: self.level as i64,
             used: ((self.peers_rate + self.pace.own_rate()) * 1000.0) as u64,
@@ -326,13 +327,13 @@
     }
 
     fn settled_at(&self) -> u64 {
-        let delays_ms = (self.lag_ms * SETTLING_DELAYS) as u64;
+        let delays_ms = (self.propagation_delay_ms * SETTLING_DELAYS) as u64;
         self.opened_at + SETTLING_MS.max(delays_ms)
     }
 
     /// Returns the units admitted by this node since its start, to be reported
     /// to other nodes.
-    pub fn own(&self) -> u64 {
+    pub fn admitted_total(&self) -> u64 {
         self.own_total
     }
 
@@ -342,7 +343,7 @@
     /// used. If their totals of several minutes were deducted from its bucket
     /// at once, they would leave a debt in which the node refuses everything
     /// for as long.
-    pub fn settle(&mut self, now: u64) {
+    pub fn skip_next_totals(&mut self, now: u64) {
         self.opened_at = now;
         for peer in &mut self.peers {
             peer.is_stale = true;
@@ -351,7 +352,13 @@
 
     /// Records the running total of another node, and whether that node is
     /// heard at the moment.
-    pub fn note(&mut self, now: u64, node: u64, total: u64, heard: bool) {
+    pub fn record_total(
+        &mut self,
+        now: u64,
+        node: u64,
+        total: u64,
+        heard: bool,
+    ) {
         let settled_at = self.settled_at();
         let found = position(&self.peers, &node, |peer| &peer.node);
         let Ok(at) = found else {
@@ -408,7 +415,7 @@
     /// admit a burst that the other nodes have used. So the units that the
     /// quota granted during the stall are offset against the reports, and the
     /// rest is added to the bucket afterwards.
-    pub fn stood_still(&mut self, now: u64, for_ms: u64) {
+    pub fn record_stall(&mut self, now: u64, for_ms: u64) {
         self.filled_at = now;
         self.stall_units = self.rate * for_ms as f64 / 1000.0;
         self.stall_units_until = now + OFFSET_MS;
@@ -437,7 +444,7 @@
         // exceed the permitted debt.
         let debt = allowance.debt();
         let floor = (-debt * (1.0 - size)).max(units - debt);
-        let unseen = self.peers_rate * allowance.lag_ms;
+        let unseen = self.peers_rate * allowance.propagation_delay_ms;
         let need = (floor + unseen).min(allowance.burst);
         let new_shortage = |wait_ms: u64, paced| Shortage {
             wait_ms,
@@ -485,7 +492,7 @@
 
     fn fill(&mut self, now: u64, allowance: Allowance) {
         self.rate = allowance.rate;
-        self.lag_ms = allowance.lag_ms;
+        self.propagation_delay_ms = allowance.propagation_delay_ms;
         if now >= self.settled_at() {
             self.is_joining = false;
             self.learned_rate = None;
--- a/src/decide/quota/pace.rs
+++ b/src/decide/quota/pace.rs
@@ -74,7 +74,7 @@
         let total_rate = self.own_rate + self.peers_rate;
         // A node to which the requests of a team have just moved has no recent
         // share yet.
-        let min_share = 1.0 / allowance.entries.max(1) as f64;
+        let min_share = 1.0 / allowance.nodes.max(1) as f64;
         let share = match self.is_joining {
             true => 0.0,
             false if total_rate > 0.0 => self.own_rate / total_rate,
--- a/src/gateway/quotas.rs
+++ b/src/gateway/quotas.rs
@@ -94,7 +94,7 @@
         let mut buckets = self.buckets.iter_mut();
         if let Some(bucket) = buckets.find(|bucket| bucket.hash == spent.team)
         {
-            bucket.meter.note(now, entry, spent.tokens, heard);
+            bucket.meter.record_total(now, entry, spent.tokens, heard);
         }
     }
 }
@@ -142,7 +142,7 @@
         let stalled_ms = now.saturating_sub(before);
         if stalled_ms >= STALL_THRESHOLD_MS {
             for bucket in &mut self.quotas().buckets {
-                bucket.meter.stood_still(now, stalled_ms);
+                bucket.meter.record_stall(now, stalled_ms);
             }
         }
     }
@@ -152,7 +152,7 @@
     pub fn settle_quota_use(&self) {
         let now = self.timer.now();
         for bucket in &mut self.quotas().buckets {
-            bucket.meter.settle(now);
+            bucket.meter.skip_next_totals(now);
         }
     }
 
@@ -172,7 +172,7 @@
         let quotas = self.quotas();
         let spent = quotas.buckets.iter().map(|bucket| Spent {
             team: bucket.hash,
-            tokens: bucket.meter.own(),
+            tokens: bucket.meter.admitted_total(),
         });
         spent.filter(|total| total.tokens > 0).collect()
     }
@@ -245,8 +245,8 @@
             rate: quota.rate as f64,
             burst: quota.burst.max(1) as f64,
             heard: 1.0 - unheard as f64 / entries as f64,
-            lag_ms: mesh::mean_lag_ms(entries),
-            entries,
+            propagation_delay_ms: mesh::mean_lag_ms(entries),
+            nodes: entries,
             tolerance: self
                 .tolerance
                 .units(quota.rate as f64, quota.burst.max(1) as f64),
@@ -271,7 +271,7 @@
                 team: team.to_owned(),
                 cost,
                 shortage,
-                word_ms: allowance.lag_ms as u64,
+                word_ms: allowance.propagation_delay_ms as u64,
                 heard: (allowance.heard * 100.0) as u64,
                 joining: meter.is_joining(),
             };
--- a/tests/all/limits.rs
+++ b/tests/all/limits.rs
@@ -29,8 +29,8 @@
             rate: RATE,
             burst: RATE,
             heard: 1.0,
-            lag_ms: 150.0,
-            entries: 9,
+            propagation_delay_ms: 150.0,
+            nodes: 9,
             tolerance: 0.0,
         };
         Entries {
@@ -48,8 +48,8 @@
             rate: RATE,
             burst: RATE,
             heard,
-            lag_ms: self.lag_ms,
-            entries: self.side.len(),
+            propagation_delay_ms: self.lag_ms,
+            nodes: self.side.len(),
             tolerance: 0.0,
         }
     }
@@ -68,7 +68,8 @@
         if !(0..self.meters.len()).any(&should_report) {
             return;
         }
-        let totals: Vec<u64> = self.meters.iter().map(Meter::own).collect();
+        let totals: Vec<u64> =
+            self.meters.iter().map(Meter::admitted_total).collect();
         for at in 0..self.meters.len() {
             for (from, total) in totals.iter().enumerate() {
                 if from != at && should_report(from) {
@@ -76,7 +77,7 @@
                     // Totals from the other side of a partition stay at their
                     // last value.
                     let total = if is_reachable { *total } else { 0 };
-                    self.meters[at].note(
+                    self.meters[at].record_total(
                         now,
                         from as u64,
                         total,
@@ -240,15 +241,15 @@
         rate: RATE,
         burst: RATE,
         heard: 1.0,
-        lag_ms: 150.0,
-        entries: 9,
+        propagation_delay_ms: 150.0,
+        nodes: 9,
         tolerance: 0.0,
     };
     let mut meter = Meter::open(0, allowance);
-    meter.note(10, 7, 1_000_000, true);
+    meter.record_total(10, 7, 1_000_000, true);
     assert_eq!(meter.admit(20, allowance, 500, false), Ok(()));
     // Later increases of the other entries' totals count.
-    meter.note(2000, 7, 1_002_000, true);
+    meter.record_total(2000, 7, 1_002_000, true);
     assert!(meter.admit(2000, allowance, 500, false).is_err());
 }
 
@@ -258,8 +259,8 @@
         rate: RATE,
         burst: RATE,
         heard: 1.0,
-        lag_ms: 150.0,
-        entries: 9,
+        propagation_delay_ms: 150.0,
+        nodes: 9,
         tolerance: 0.0,
     };
     let mut meter = Meter::open(0, allowance);
--- a/tests/all/quota.rs
+++ b/tests/all/quota.rs
@@ -202,7 +202,7 @@
 impl Load {
     fn tolerance(&self) -> f64 {
         let units = 140_000.0;
-        let stated = Tolerance { part: 0.1, units, window_ms: 8000.0 };
+        let stated = Tolerance { fraction: 0.1, units, window_ms: 8000.0 };
         stated.units(self.rate, self.rate)
     }
 
@@ -211,8 +211,8 @@
             rate: self.rate,
             burst: self.rate,
             heard: 1.0,
-            lag_ms: self.report_rounds() as f64 * 150.0,
-            entries: self.nodes,
+            propagation_delay_ms: self.report_rounds() as f64 * 150.0,
+            nodes: self.nodes,
             tolerance: self.tolerance(),
         }
     }
@@ -338,7 +338,7 @@
             if self.outage.is_down(now, from, self.nodes) {
                 continue;
             }
-            let total = meters[from].own();
+            let total = meters[from].admitted_total();
             let starts = self.outage.starts(now, from, self.nodes);
             let incarnation = from as u64 + starts * 1000;
             for (to, meter) in meters.iter_mut().enumerate() {
@@ -347,7 +347,7 @@
                 let is_other_side = (to + from) % 2 == 1;
                 let heard = !(is_other_side && self.is_partitioned_at(now));
                 if to != from && is_reported && !rng.random_bool(LOSS_RATE) {
-                    meter.note(now, incarnation, total, heard);
+                    meter.record_total(now, incarnation, total, heard);
                 }
             }
         }
@@ -530,15 +530,15 @@
     let admit =
         |meter: &mut Meter, now| meter.admit(now, allowance, 2_000, false);
     for now in (0..6000).step_by(300) {
-        meter.note(now, 7, now * 190, true);
+        meter.record_total(now, 7, now * 190, true);
         assert_eq!(admit(&mut meter, now), Ok(()));
     }
-    meter.stood_still(14_000, 8_300);
+    meter.record_stall(14_000, 8_300);
     assert_eq!(admit(&mut meter, 14_000), Ok(()));
-    meter.note(14_010, 7, 14_010 * 190, true);
+    meter.record_total(14_010, 7, 14_010 * 190, true);
     assert_eq!(admit(&mut meter, 14_020), Ok(()));
     // Later reports count.
-    meter.note(14_300, 7, 14_300 * 190 + 900_000, true);
+    meter.record_total(14_300, 7, 14_300 * 190 + 900_000, true);
     assert!(admit(&mut meter, 14_310).is_err());
 }
 
@@ -565,10 +565,10 @@
     // The flood: other nodes admit three times the quota until all nodes
     // refuse.
     for now in (0..1200).step_by(300) {
-        meter.note(now, 7, now * 570, true);
+        meter.record_total(now, 7, now * 570, true);
         admitted(&mut meter, now);
     }
-    meter.stood_still(6_200, 5_000);
+    meter.record_stall(6_200, 5_000);
     let at_once: u64 = (0..200).map(|_| admitted(&mut meter, 6_200)).sum();
     assert!(at_once <= 20_000, "{at_once}");
 }
@@ -590,14 +590,14 @@
     let admit =
         |meter: &mut Meter, now| meter.admit(now, allowance, 2_000, false);
     let mut meter = Meter::open(0, allowance);
-    meter.note(100, 7, 2_000, true);
+    meter.record_total(100, 7, 2_000, true);
     assert_eq!(admit(&mut meter, 200), Ok(()));
-    meter.settle(60_000);
-    meter.note(60_100, 7, 9_000_000, true);
-    meter.note(60_100, 8, 9_000_000, true);
+    meter.skip_next_totals(60_000);
+    meter.record_total(60_100, 7, 9_000_000, true);
+    meter.record_total(60_100, 8, 9_000_000, true);
     assert_eq!(admit(&mut meter, 60_200), Ok(()));
     // Later reports are deducted.
-    meter.note(60_400, 7, 9_900_000, true);
+    meter.record_total(60_400, 7, 9_900_000, true);
     assert!(admit(&mut meter, 60_500).is_err());
 }
 
--- a/tests/all/world.rs
+++ b/tests/all/world.rs
@@ -183,7 +183,11 @@
         gateway: gateway::Options {
             data_centre: "one".to_owned(),
             retry_bound: Bound { ratio: 0.2, slack: 20.0, window_ms: 10_000 },
-            tolerance: Tolerance { part: 0.0, units: 0.0, window_ms: 8000.0 },
+            tolerance: Tolerance {
+                fraction: 0.0,
+                units: 0.0,
+                window_ms: 8000.0,
+            },
             usage_window: UsageWindow { length_ms: 5000 },
             body_memory: 30 * 1024,
         },
