--- a/benches/admit.rs
+++ b/benches/admit.rs
@@ -78,7 +78,7 @@
                 return true;
             }
             let request = &requests[*at];
-            gate.done(TEAMS[request.team], request.hold_ms as f32);
+            gate.finish(TEAMS[request.team], request.hold_ms as f32);
             false
         });
         let room = |gate: &Gate| Room {
@@ -86,7 +86,7 @@
             load: gate.running(),
             entries: 1,
         };
-        for (ticket, _) in gate.hopeless(now, room(&gate)) {
+        for (ticket, _) in gate.remove_late(now, room(&gate)) {
             waiting.remove(&ticket);
             result.refused += 1;
         }
--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -146,7 +146,7 @@
             let name = &names[number as usize % names.len()];
             let arrival = gate.arrive(number, room, name, 500.0, u64::MAX);
             if arrival == Arrival::Start {
-                gate.done(name, 900.0);
+                gate.finish(name, 900.0);
             }
         });
         let name = format!("admit and end, {count} teams");
--- a/src/decide/admit.rs
+++ b/src/decide/admit.rs
@@ -180,7 +180,7 @@
 
     /// Removes requests that can no longer start in time. Returns each with
     /// the time after which a retry is worthwhile, in ms.
-    pub fn hopeless(&mut self, now: u64, room: Room) -> Vec<(Ticket, u64)> {
+    pub fn remove_late(&mut self, now: u64, room: Room) -> Vec<(Ticket, u64)> {
         let mut refused = Vec::new();
         for at in 0..self.teams.len() {
             let retry_after_ms = self.predicted_wait_ms(at, room);
@@ -213,7 +213,7 @@
 
     /// Records that a request has finished after holding its slot for
     /// `held_ms`.
-    pub fn done(&mut self, team: &str, held_ms: f32) {
+    pub fn finish(&mut self, team: &str, held_ms: f32) {
         self.running = self.running.saturating_sub(1);
         self.hold_ms += (held_ms - self.hold_ms) * HOLD_AVERAGE_WEIGHT;
         if let Ok(at) = self.find(team) {
@@ -224,8 +224,8 @@
 
     /// Releases the slot of a request that [`Gate::next`] returned but that
     /// never started, for instance because its caller disconnected.
-    pub fn unused(&mut self, team: &str) {
-        self.done(team, self.hold_ms);
+    pub fn release_unused(&mut self, team: &str) {
+        self.finish(team, self.hold_ms);
     }
 
     // ---- Scheduling --------------------------------------------------------
--- a/src/entry/admission.rs
+++ b/src/entry/admission.rs
@@ -59,7 +59,7 @@
         self.state.metrics.running.dec();
         let admission = &self.state.admission;
         admission.with(&self.state, &self.service, |line, room| {
-            line.gate.done(&self.team, held);
+            line.gate.finish(&self.team, held);
             advance(line, now, room);
         });
     }
@@ -193,7 +193,7 @@
 }
 
 fn advance(line: &mut Line, now: u64, room: Room) {
-    for (ticket, after) in line.gate.hopeless(now, room) {
+    for (ticket, after) in line.gate.remove_late(now, room) {
         answer(line, ticket, Err(after));
     }
     let mut room = room;
@@ -211,6 +211,6 @@
     let gone = waiting.answer.send(result).is_err();
     if gone && result.is_ok() {
         // The caller has gone: its slot must not stay taken.
-        line.gate.unused(&waiting.team);
+        line.gate.release_unused(&waiting.team);
     }
 }
--- a/tests/all/decide.rs
+++ b/tests/all/decide.rs
@@ -301,7 +301,7 @@
         }
     }
     for _ in 0..18 {
-        gate.done("filler", 1000.0);
+        gate.finish("filler", 1000.0);
     }
     let mut counts = BTreeMap::new();
     for _ in 0..16 {
@@ -333,8 +333,8 @@
     while gate.arrive(0, room(&gate), "large", 1.0, 10_000) == Arrival::Start {
     }
     let waiting = gate.waiting();
-    assert!(gate.hopeless(10_000, ROOM).is_empty());
-    assert_eq!(gate.hopeless(10_001, ROOM).len(), waiting);
+    assert!(gate.remove_late(10_000, ROOM).is_empty());
+    assert_eq!(gate.remove_late(10_001, ROOM).len(), waiting);
     assert_eq!(gate.waiting(), 0);
 }
 
