--- a/src/decide/quota/mod.rs
+++ b/src/decide/quota/mod.rs
@@ -484,7 +484,7 @@
         units / (self.mean_size * LARGE_SIZE_RATIO).max(1.0)
     }
 
-    /// Returns the units of a request that did not run to the bucket.
+    /// Puts the units of a request that did not run back into the bucket.
     pub fn give_back(&mut self, cost: u64) {
         self.level += cost as f64;
         self.own_total = self.own_total.saturating_sub(cost);
--- a/src/decide/rate_limit.rs
+++ b/src/decide/rate_limit.rs
@@ -250,7 +250,7 @@
         self.filled_at = now;
     }
 
-    /// Returns the token of a request that was not sent.
+    /// Puts back the token of a request that was not sent.
     pub fn give_back(&mut self) {
         self.level += 1.0;
     }
