--- a/src/gateway/ending.rs
+++ b/src/gateway/ending.rs
@@ -247,7 +247,7 @@
             .is_none_or(|at| attempt.sent_at > at + MAX_DISCONNECT_DELAY_MS);
         let since = heard_after(attempt.ended_at as i64);
         let is_alive =
-            matches!(self.fate(target, since), Fate::Lives | Fate::Leaves);
+            matches!(self.fate(target, since), Fate::Alive | Fate::Leaving);
         if !is_late && !is_alive {
             self.record_suspected_crash(
                 attempt.crash(&target.replica, attempt.ended_at),
@@ -301,10 +301,10 @@
                 // The replica stops with the requests that it still has. If
                 // that counted as a crash, a long request would have one for
                 // each replica that is replaced.
-                Fate::Leaves => return Finding::NotCrashed,
-                Fate::Followed => return Finding::Crashed("another life"),
+                Fate::Leaving => return Finding::NotCrashed,
+                Fate::Superseded => return Finding::Crashed("another life"),
                 _ if refused => return Finding::Crashed("refused"),
-                Fate::Lives => return Finding::NotCrashed,
+                Fate::Alive => return Finding::NotCrashed,
                 Fate::Unknown if is_over => return Finding::NotCrashed,
                 Fate::Silent if is_over => return Finding::Crashed("unheard"),
                 Fate::Unknown | Fate::Silent => {}
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -614,7 +614,7 @@
     match replica.state {
         State::Ready if is_heard => Availability::Serving,
         State::Ready => Availability::Silent,
-        State::Leaving | State::Gone => Availability::Leaving,
+        State::Leaving | State::Departed => Availability::Leaving,
     }
 }
 
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -157,7 +157,7 @@
         {
             let table = mesh.table();
             quarantine.withdraw(fingerprint, |replica, at| {
-                table.has_spoken(replica, ending::heard_after(at))
+                table.was_heard_or_is_leaving(replica, ending::heard_after(at))
             });
         }
         let replicas = || self.fleet().load(service).0;
--- a/src/mesh/datagram.rs
+++ b/src/mesh/datagram.rs
@@ -361,7 +361,7 @@
             }
             let retention_ms = match replica.state {
                 State::Ready => REPLICA_RETENTION_MS,
-                State::Leaving | State::Gone => TOMBSTONE_RETENTION_MS,
+                State::Leaving | State::Departed => TOMBSTONE_RETENTION_MS,
             };
             now < replica.heard_at + retention_ms
         });
--- a/src/mesh/lives.rs
+++ b/src/mesh/lives.rs
@@ -3,7 +3,7 @@
 //! The state of an incarnation only moves from ready to leaving to departed.
 //! The replica's next start is another incarnation, so a late heartbeat can't
 //! bring back one that has departed. Incarnations of a replica are ordered by
-//! start time, and the last one is current: see [`life_name`].
+//! start time, and the last one is current: see [`incarnation_id`].
 
 use super::{
     replica::{Replica, State},
@@ -42,12 +42,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
     /// A heartbeat was received.
-    Lives,
+    Alive,
     /// It announced that it leaves.
-    Leaves,
+    Leaving,
     /// It was not heard, but another incarnation of its replica, or another
     /// replica at its address, was.
-    Followed,
+    Superseded,
     /// It was not heard, but other replicas were.
     Silent,
     /// No replica was heard, so its silence proves nothing.
@@ -61,7 +61,7 @@
 /// previous incarnation. Each incarnation is a separate replica here, so that
 /// nothing that is stored by id (caches, load, failures, connections, holds)
 /// passes from one incarnation to the next.
-pub fn life_name(replica: &str, born: u64) -> String {
+pub fn incarnation_id(replica: &str, born: u64) -> String {
     if born == 0 && !replica.contains(INCARNATION_SEPARATOR) {
         return replica.to_owned();
     }
@@ -69,9 +69,10 @@
 }
 
 /// Returns the replica id that is part of an incarnation's id.
-pub fn replica_of(life: &str) -> &str {
-    life.rsplit_once(INCARNATION_SEPARATOR)
-        .map_or(life, |(replica, _)| replica)
+pub fn replica_of(incarnation: &str) -> &str {
+    incarnation
+        .rsplit_once(INCARNATION_SEPARATOR)
+        .map_or(incarnation, |(replica, _)| replica)
 }
 
 /// Returns the number that identifies an incarnation between nodes.
@@ -117,7 +118,7 @@
         match found {
             Ok(at) => self.replicas[at]
                 .apply_sighting(says, state, heard_at, is_direct),
-            Err(_) if state == State::Gone && says.service.is_empty() => {
+            Err(_) if state == State::Departed && says.service.is_empty() => {
                 // A departure notice of an unknown replica. Its entry keeps a
                 // late heartbeat from adding the replica.
                 self.add_replica(now, says, state, heard_at, is_direct);
@@ -150,12 +151,13 @@
     /// Assigns a departure notice without a start time to the current
     /// incarnation.
     fn with_current_incarnation(&self, says: Sighting) -> Sighting {
-        if says.born != 0 || State::from_u32(says.state) != State::Gone {
+        if says.born != 0 || State::from_u32(says.state) != State::Departed {
             return says;
         }
         let incarnations = self.incarnations(replica_of(&says.id));
-        let current = incarnations
-            .max_by_key(|known| (known.state != State::Gone, known.says.born));
+        let current = incarnations.max_by_key(|known| {
+            (known.state != State::Departed, known.says.born)
+        });
         match current {
             Some(current) => Sighting {
                 id: current.says.id.clone(),
@@ -168,23 +170,24 @@
 
     /// Returns the incarnation that this heartbeat supersedes, if there is
     /// one.
-    pub fn former_life(&self, says: &Sighting) -> Option<String> {
+    pub fn former_incarnation(&self, says: &Sighting) -> Option<String> {
         self.other_current(says).map(|known| known.says.id.clone())
     }
 
     /// Returns what is known of an incarnation since a given time, which must
     /// not be longer ago than replicas are remembered.
-    pub fn fate(&self, life: &str, since: u64) -> Fate {
+    pub fn fate(&self, incarnation: &str, since: u64) -> Fate {
         let heard = |known: &&Replica| known.heard_at > since;
-        let found =
-            position(&self.replicas, life, |known| known.says.id.as_str());
+        let found = position(&self.replicas, incarnation, |known| {
+            known.says.id.as_str()
+        });
         let Ok(at) = found else { return Fate::Unknown };
         let own = &self.replicas[at];
         let others =
             || self.replicas.iter().filter(|known| known.hash != own.hash);
         let supersedes = |known: &Replica| {
             let is_incarnation =
-                replica_of(&known.says.id) == replica_of(life);
+                replica_of(&known.says.id) == replica_of(incarnation);
             let address = (known.says.ip, known.says.port);
             is_incarnation || address == (own.says.ip, own.says.port)
         };
@@ -196,10 +199,10 @@
             .any(supersedes);
         match own.state {
             // Its own announcement takes precedence over what was heard later.
-            State::Leaving => Fate::Leaves,
-            _ if is_superseded => Fate::Followed,
-            State::Gone => Fate::Leaves,
-            State::Ready if heard(&own) => Fate::Lives,
+            State::Leaving => Fate::Leaving,
+            _ if is_superseded => Fate::Superseded,
+            State::Departed => Fate::Leaving,
+            State::Ready if heard(&own) => Fate::Alive,
             State::Ready if others().any(|known| heard(&known)) => {
                 Fate::Silent
             }
@@ -209,7 +212,7 @@
 
     /// Returns whether an incarnation was heard since a given time, or
     /// announced that it leaves.
-    pub fn has_spoken(&self, hash: u64, since: u64) -> bool {
+    pub fn was_heard_or_is_leaving(&self, hash: u64, since: u64) -> bool {
         let own = self.replicas.iter().find(|known| known.hash == hash);
         own.is_some_and(|known| {
             known.heard_at > since || known.state == State::Leaving
@@ -217,9 +220,10 @@
     }
 
     /// Returns when an incarnation was last heard at any node, if it is known.
-    pub fn last_heard(&self, life: &str) -> Option<u64> {
-        let found =
-            position(&self.replicas, life, |known| known.says.id.as_str());
+    pub fn last_heard(&self, incarnation: &str) -> Option<u64> {
+        let found = position(&self.replicas, incarnation, |known| {
+            known.says.id.as_str()
+        });
         found.ok().map(|at| self.replicas[at].heard_at)
     }
 
@@ -267,7 +271,7 @@
     fn is_marked_departed(&self, says: &Sighting) -> bool {
         says.born != 0
             && self.incarnations(replica_of(&says.id)).any(|known| {
-                known.says.born == says.born && known.state == State::Gone
+                known.says.born == says.born && known.state == State::Departed
             })
     }
 
@@ -275,7 +279,7 @@
     /// at most one, because each heartbeat supersedes the other incarnations.
     fn other_current(&self, says: &Sighting) -> Option<&Replica> {
         self.incarnations(replica_of(&says.id)).find(|known| {
-            known.says.born != says.born && known.state != State::Gone
+            known.says.born != says.born && known.state != State::Departed
         })
     }
 
@@ -299,11 +303,13 @@
         let incarnations = self.incarnation_positions(replica_of(&says.id));
         for at in incarnations {
             let replica = &mut self.replicas[at];
-            if replica.says.born == says.born || replica.state == State::Gone {
+            if replica.says.born == says.born
+                || replica.state == State::Departed
+            {
                 continue;
             }
-            replica.state = State::Gone;
-            replica.says.state = State::Gone as u32;
+            replica.state = State::Departed;
+            replica.says.state = State::Departed as u32;
             replica.left_at = now;
             let hash = replica.hash;
             self.record_departure(now, hash);
--- a/src/mesh/replica.rs
+++ b/src/mesh/replica.rs
@@ -18,7 +18,7 @@
         /// It finishes its requests in flight.
         Leaving,
         /// It has departed.
-        Gone,
+        Departed,
     }
 }
 
@@ -27,7 +27,7 @@
         match number {
             0 => State::Ready,
             1 => State::Leaving,
-            _ => State::Gone,
+            _ => State::Departed,
         }
     }
 }
@@ -75,7 +75,7 @@
         match self.state {
             State::Ready => true,
             State::Leaving => now < self.left_at + LEAVING_CACHE_FETCH_MS,
-            State::Gone => false,
+            State::Departed => false,
         }
     }
 
--- a/src/mesh/table.rs
+++ b/src/mesh/table.rs
@@ -19,7 +19,7 @@
     role::{DRAIN_DURATION_MS, Rate, Role, Selector, View},
 };
 pub use super::{
-    lives::{life_name, replica_hash, replica_of},
+    lives::{incarnation_id, replica_hash, replica_of},
     replica::{Replica, State},
 };
 use crate::{
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -339,7 +339,7 @@
         let id = says.id.clone();
         let (state, leaves_ms) = (says.state, says.leaves_ms);
         let mut table = mesh.table();
-        let former = table.former_life(&says);
+        let former = table.former_incarnation(&says);
         let changed = table.sight(now, says, true);
         drop(table);
         if changed {
--- a/tests/all/endings.rs
+++ b/tests/all/endings.rs
@@ -11,7 +11,7 @@
 };
 
 use azuremount::{
-    mesh::table::{life_name, replica_of},
+    mesh::table::{incarnation_id, replica_of},
     node,
     wire::Sighting,
 };
@@ -129,7 +129,7 @@
             }
             _ => 0,
         };
-        let id = life_name(&replica, born);
+        let id = incarnation_id(&replica, born);
         let says = Sighting { born, ..sighting(&id, address, 0) };
         self.live.lock().unwrap().push((says, 0));
         id
--- a/tests/all/mesh.rs
+++ b/tests/all/mesh.rs
@@ -4,7 +4,7 @@
 use azuremount::{
     mesh::{
         round::Round,
-        table::{Own, State, Table, life_name, replica_hash, replica_of},
+        table::{Own, State, Table, incarnation_id, replica_hash, replica_of},
     },
     wire::{
         Crash, Gossip, Peer, RecordUsage, Sighting, Spent, TeamCount, Under,
@@ -59,7 +59,7 @@
     assert_eq!(state(&table, "a"), Some(State::Leaving));
     table.sight(4, sighting("a", 2, 0), true);
     table.sight(5, sighting("a", 1, 10), true);
-    assert_eq!(state(&table, "a"), Some(State::Gone));
+    assert_eq!(state(&table, "a"), Some(State::Departed));
 }
 
 /// Guards against using a departed replica whose departure notice arrives
@@ -70,7 +70,7 @@
     let departure = Sighting { service: String::new(), ..sighting("a", 2, 0) };
     table.sight(0, departure, true);
     table.sight(1, sighting("a", 0, 5), true);
-    assert_eq!(state(&table, "a"), Some(State::Gone));
+    assert_eq!(state(&table, "a"), Some(State::Departed));
 }
 
 /// Guards against handing out a stopped node. It announces that it no longer
@@ -308,7 +308,7 @@
 
 /// Returns a heartbeat of an incarnation of a replica.
 fn heartbeat(id: &str, born: u64, state: u32, sequence: u64) -> Sighting {
-    Sighting { born, ..sighting(&life_name(id, born), state, sequence) }
+    Sighting { born, ..sighting(&incarnation_id(id, born), state, sequence) }
 }
 
 fn usable(table: &Table, now: u64) -> Vec<String> {
@@ -352,7 +352,7 @@
     table.sight(0, heartbeat("b", 1000, 0, 50), true);
     table.sight(100, heartbeat("a", 2000, 0, 1), false);
     assert_eq!(usable(&table, 100), ["a@2000", "b@1000"]);
-    assert_eq!(state(&table, "a@1000"), Some(State::Gone));
+    assert_eq!(state(&table, "a@1000"), Some(State::Departed));
     // A remembered incarnation does not bring it back either.
     let remembered =
         Sighting { remembered: true, ..heartbeat("a", 500, 0, 9) };
@@ -399,9 +399,9 @@
 #[test]
 fn an_incarnation_id_contains_the_replica_id() {
     for (id, born) in [("a", 0), ("a", 7), ("a@b", 0), ("a@3", 0), ("@", 9)] {
-        assert_eq!(replica_of(&life_name(id, born)), id);
+        assert_eq!(replica_of(&incarnation_id(id, born)), id);
     }
-    assert_eq!(life_name("a", 0), "a");
+    assert_eq!(incarnation_id("a", 0), "a");
 }
 
 /// Guards against not using a replica for a minute after a network partition.
