--- a/src/duty/scale.rs
+++ b/src/duty/scale.rs
@@ -138,7 +138,7 @@
         if ready.is_empty() {
             return;
         }
-        let spot = ready.iter().filter(|one| one.says.reclaimable).count();
+        let spot = ready.iter().filter(|one| one.sighting.reclaimable).count();
         let scaling = service.scaling.as_ref();
         let sites = scaling.map_or(1, |scaling| scaling.prices.len());
         let found = estimate_initial_replicas(ready.len() - spot, spot, sites);
@@ -210,7 +210,7 @@
         .filter(|one| one.state == State::Ready)
         .filter(|one| one.remembered_until.is_none())
         .filter(|one| now < one.heard_at + SILENT_MS)
-        .filter(|one| one.says.service == service)
+        .filter(|one| one.sighting.service == service)
         .collect()
 }
 
@@ -226,15 +226,15 @@
     data_centre: &str,
 ) -> bool {
     let there = table.replicas().iter().filter(|one| {
-        one.says.reclaimable
-            && one.says.service == service.name
-            && one.says.data_centre == data_centre
+        one.sighting.reclaimable
+            && one.sighting.service == service.name
+            && one.sighting.data_centre == data_centre
     });
     let (mut leaving, mut ready) = (0, 0);
     for replica in there {
         match replica.state {
             State::Ready => ready += 1,
-            _ if now < replica.left_at + DRY_MS => leaving += 1,
+            _ if now < replica.leaving_since + DRY_MS => leaving += 1,
             _ => {}
         }
     }
@@ -245,8 +245,8 @@
     let count = |data_centre: &str, reclaimable: bool| {
         ready
             .iter()
-            .filter(|one| one.says.data_centre == data_centre)
-            .filter(|one| one.says.reclaimable == reclaimable)
+            .filter(|one| one.sighting.data_centre == data_centre)
+            .filter(|one| one.sighting.reclaimable == reclaimable)
             .count() as u32
     };
     scaling
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -150,11 +150,11 @@
     pub fn refresh(&mut self, now: u64, table: &Table, plan: Option<&Plan>) {
         let usable = || {
             let replicas = table.replicas().iter();
-            replicas.filter(|replica| replica.may_be_used(now))
+            replicas.filter(|replica| replica.is_usable(now))
         };
         let mut names: Vec<&str> = Vec::new();
         for replica in usable() {
-            let name = replica.says.service.as_str();
+            let name = replica.sighting.service.as_str();
             // A linear search will do: there are few services, although one
             // may have a thousand replicas.
             if !names.contains(&name) {
@@ -165,7 +165,7 @@
             let planned = plan.and_then(|plan| plan.service(name));
             let at = self.service_or_new(name, planned);
             let replicas =
-                usable().filter(|replica| replica.says.service == *name);
+                usable().filter(|replica| replica.sighting.service == *name);
             let near = &self.data_centre;
             let memory = &self.memory;
             self.services[at].refresh(now, near, replicas, table, memory);
@@ -523,7 +523,7 @@
     ) {
         let is_fresh = |replica: &&table::Replica| {
             let is_heard = now < replica.heard_at + HEARTBEAT_TIMEOUT_MS;
-            is_heard || self.has_answered(now, &replica.says.id)
+            is_heard || self.has_answered(now, &replica.sighting.id)
         };
         // If no heartbeat arrives at all, this node is more likely cut off
         // than every replica down.
@@ -542,8 +542,8 @@
                 .map(|replica| {
                     (
                         availability(replica),
-                        replica.says.slots,
-                        replica.says.reclaimable,
+                        replica.sighting.slots,
+                        replica.sighting.reclaimable,
                     )
                 })
                 .collect();
@@ -561,7 +561,7 @@
         for (at, replica) in replicas.enumerate() {
             // The requests that other nodes have sent to a new replica are not
             // known yet.
-            if now >= replica.since + lag_ms {
+            if now >= replica.first_seen_at + lag_ms {
                 let (load, pending) = loads.at(replica.hash());
                 self.pool
                     .record_others_load_at(now, at, load, pending, lag_ms);
@@ -577,7 +577,7 @@
     ) {
         let old = std::mem::take(&mut self.places);
         for replica in replicas {
-            let says = &replica.says;
+            let says = &replica.sighting;
             let at = position(&old, &says.id, |place| &place.replica);
             self.places.push(Place {
                 key: key(replica),
@@ -607,7 +607,7 @@
 }
 
 fn key(replica: &table::Replica) -> (u64, u32, u32) {
-    (replica.hash(), replica.says.ip, replica.says.port)
+    (replica.hash(), replica.sighting.ip, replica.sighting.port)
 }
 
 fn availability(replica: &table::Replica, is_heard: bool) -> Availability {
@@ -619,7 +619,7 @@
 }
 
 fn identity(replica: &table::Replica, availability: Availability) -> Identity {
-    let says = &replica.says;
+    let says = &replica.sighting;
     Identity {
         id: says.id.clone(),
         incarnation: 0,
--- a/src/mesh/datagram.rs
+++ b/src/mesh/datagram.rs
@@ -87,9 +87,9 @@
         for peer in gossip.peers {
             news.nodes |= self.apply_peer(now, peer, false);
         }
-        if let Ok(at) = position(&self.nodes, &ip, |node| &node.says.ip) {
+        if let Ok(at) = position(&self.nodes, &ip, |node| &node.peer.ip) {
             let node = &mut self.nodes[at];
-            if node.says.incarnation == incarnation {
+            if node.peer.incarnation == incarnation {
                 node.clock_lead_ms = gossip.wall_ms - wall_ms;
                 node.heard_directly_at = now;
                 let scope = Scope::of(gossip.scope);
@@ -103,9 +103,9 @@
                 }
             }
         }
-        for says in gossip.replicas {
-            let leaves = State::from_u32(says.state) != State::Ready;
-            let changed = self.sight(now, says, relays);
+        for sighting in gossip.replicas {
+            let leaves = State::from_u32(sighting.state) != State::Ready;
+            let changed = self.sight(now, sighting, relays);
             news.replicas |= changed;
             news.leaves |= changed && leaves;
         }
@@ -133,23 +133,23 @@
         }
     }
 
-    fn apply_peer(&mut self, now: u64, says: Peer, is_direct: bool) -> bool {
-        if says.ip == self.me.ip {
+    fn apply_peer(&mut self, now: u64, peer: Peer, is_direct: bool) -> bool {
+        if peer.ip == self.me.ip {
             return false;
         }
         // Subtracts the report's age. Counted from its arrival, a relayed
         // report of a dead node would keep that node live for as long as other
         // nodes relay it.
-        let heard_at = now.saturating_sub(u64::from(says.age_ms));
-        let says = Peer { age_ms: 0, ..says };
-        match position(&self.nodes, &says.ip, |node| &node.says.ip) {
+        let heard_at = now.saturating_sub(u64::from(peer.age_ms));
+        let peer = Peer { age_ms: 0, ..peer };
+        match position(&self.nodes, &peer.ip, |node| &node.peer.ip) {
             Ok(at) => {
                 let node = &mut self.nodes[at];
-                let is_restarted = node.says.incarnation != says.incarnation;
+                let is_restarted = node.peer.incarnation != peer.incarnation;
                 // A beat is a wall-clock time, so it also grows across
                 // restarts unless the clock has jumped back. In that case the
                 // restarted node is accepted once it sends a datagram itself.
-                let is_old = says.beat <= node.says.beat;
+                let is_old = peer.beat <= node.peer.beat;
                 if is_old && !(is_restarted && is_direct) {
                     return false;
                 }
@@ -159,12 +159,12 @@
                     node.spent.clear();
                     node.work.clear();
                 }
-                node.says = says;
+                node.peer = peer;
                 is_restarted
             }
             Err(at) => {
                 let node = Node {
-                    says,
+                    peer,
                     heard_at,
                     heard_directly_at: 0,
                     first_seen_at: now,
@@ -269,7 +269,7 @@
                 .counts
                 .latest_of(self.me.incarnation, self.load_reports_sent),
             relayed: self.relayed(now),
-            unheard: self.unheard(now).map(|node| node.says.ip).collect(),
+            unheard: self.unheard(now).map(|node| node.peer.ip).collect(),
             ..gossip
         }
     }
@@ -291,8 +291,8 @@
     fn peers_for(&mut self, now: u64, asker: &Peer) -> Vec<Peer> {
         let from = self.next_near_peer;
         let is_needed = |node: &&Node| {
-            let is_near = node.says.data_centre == asker.data_centre;
-            node.says.has_disk || (is_near && node.is_active())
+            let is_near = node.peer.data_centre == asker.data_centre;
+            node.peer.has_disk || (is_near && node.is_active())
         };
         let needed: Vec<&Node> = self.members(now).filter(is_needed).collect();
         let count = needed.len().min(MAX_NEEDED_PEERS_PER_ANSWER);
--- a/src/mesh/lives.rs
+++ b/src/mesh/lives.rs
@@ -85,48 +85,50 @@
     pub fn sight(
         &mut self,
         now: u64,
-        says: Sighting,
+        sighting: Sighting,
         is_direct: bool,
     ) -> bool {
-        if says.remembered {
-            self.add_remembered(now, says);
+        if sighting.remembered {
+            self.add_remembered(now, sighting);
             return false;
         }
-        if self.is_repeated(&says) {
+        if self.is_repeated(&sighting) {
             return false;
         }
-        let says = self.with_current_incarnation(says);
-        let heard_at = now.saturating_sub(u64::from(says.age_ms));
-        if self.is_late(heard_at, &says) {
+        let sighting = self.with_current_incarnation(sighting);
+        let heard_at = now.saturating_sub(u64::from(sighting.age_ms));
+        if self.is_late(heard_at, &sighting) {
             return false;
         }
-        self.revive(&says);
-        self.supersede_others(now, &says);
-        let mut state = State::from_u32(says.state);
-        let hash = replica_hash(&says.id);
-        let has_departed =
-            self.has_departure(hash) || self.has_departure_notice(now, &says);
+        self.revive(&sighting);
+        self.supersede_others(now, &sighting);
+        let mut state = State::from_u32(sighting.state);
+        let hash = replica_hash(&sighting.id);
+        let has_departed = self.has_departure(hash)
+            || self.has_departure_notice(now, &sighting);
         if state != State::Ready {
             self.record_departure(now, hash);
         } else if has_departed {
             // The departure is known already, so this heartbeat is older.
             state = State::Leaving;
         }
-        let found = position(&self.replicas, says.id.as_str(), |known| {
-            known.says.id.as_str()
+        let found = position(&self.replicas, sighting.id.as_str(), |known| {
+            known.sighting.id.as_str()
         });
         match found {
             Ok(at) => self.replicas[at]
-                .apply_sighting(says, state, heard_at, is_direct),
-            Err(_) if state == State::Departed && says.service.is_empty() => {
+                .apply_sighting(sighting, state, heard_at, is_direct),
+            Err(_)
+                if state == State::Departed && sighting.service.is_empty() =>
+            {
                 // A departure notice of an unknown replica. Its entry keeps a
                 // late heartbeat from adding the replica.
-                self.add_replica(now, says, state, heard_at, is_direct);
+                self.add_replica(now, sighting, state, heard_at, is_direct);
                 true
             }
-            Err(_) if says.service.is_empty() => false,
+            Err(_) if sighting.service.is_empty() => false,
             Err(_) => {
-                self.add_replica(now, says, state, heard_at, is_direct);
+                self.add_replica(now, sighting, state, heard_at, is_direct);
                 true
             }
         }
@@ -135,43 +137,45 @@
     /// Returns true for a ready incarnation's heartbeat that is not newer than
     /// the known one. With many replicas, most of what nodes repeat to each
     /// other is of this kind.
-    fn is_repeated(&self, says: &Sighting) -> bool {
-        let found = position(&self.replicas, says.id.as_str(), |known| {
-            known.says.id.as_str()
+    fn is_repeated(&self, sighting: &Sighting) -> bool {
+        let found = position(&self.replicas, sighting.id.as_str(), |known| {
+            known.sighting.id.as_str()
         });
         found.is_ok_and(|at| {
             let known = &self.replicas[at];
             known.state == State::Ready
-                && State::from_u32(says.state) == State::Ready
-                && says.born == known.says.born
-                && says.sequence <= known.says.sequence
+                && State::from_u32(sighting.state) == State::Ready
+                && sighting.born == known.sighting.born
+                && sighting.sequence <= known.sighting.sequence
         })
     }
 
     /// Assigns a departure notice without a start time to the current
     /// incarnation.
-    fn with_current_incarnation(&self, says: Sighting) -> Sighting {
-        if says.born != 0 || State::from_u32(says.state) != State::Departed {
-            return says;
+    fn with_current_incarnation(&self, sighting: Sighting) -> Sighting {
+        if sighting.born != 0
+            || State::from_u32(sighting.state) != State::Departed
+        {
+            return sighting;
         }
-        let incarnations = self.incarnations(replica_of(&says.id));
+        let incarnations = self.incarnations(replica_of(&sighting.id));
         let current = incarnations.max_by_key(|known| {
-            (known.state != State::Departed, known.says.born)
+            (known.state != State::Departed, known.sighting.born)
         });
         match current {
             Some(current) => Sighting {
-                id: current.says.id.clone(),
-                born: current.says.born,
-                ..says
+                id: current.sighting.id.clone(),
+                born: current.sighting.born,
+                ..sighting
             },
-            None => says,
+            None => sighting,
         }
     }
 
     /// Returns the incarnation that this heartbeat supersedes, if there is
     /// one.
-    pub fn former_incarnation(&self, says: &Sighting) -> Option<String> {
-        self.other_current(says).map(|known| known.says.id.clone())
+    pub fn former_incarnation(&self, sighting: &Sighting) -> Option<String> {
+        self.other_current(sighting).map(|known| known.sighting.id.clone())
     }
 
     /// Returns what is known of an incarnation since a given time, which must
@@ -179,7 +183,7 @@
     pub fn fate(&self, incarnation: &str, since: u64) -> Fate {
         let heard = |known: &&Replica| known.heard_at > since;
         let found = position(&self.replicas, incarnation, |known| {
-            known.says.id.as_str()
+            known.sighting.id.as_str()
         });
         let Ok(at) = found else { return Fate::Unknown };
         let own = &self.replicas[at];
@@ -187,13 +191,14 @@
             || self.replicas.iter().filter(|known| known.hash != own.hash);
         let supersedes = |known: &Replica| {
             let is_incarnation =
-                replica_of(&known.says.id) == replica_of(incarnation);
-            let address = (known.says.ip, known.says.port);
-            is_incarnation || address == (own.says.ip, own.says.port)
+                replica_of(&known.sighting.id) == replica_of(incarnation);
+            let address = (known.sighting.ip, known.sighting.port);
+            is_incarnation || address == (own.sighting.ip, own.sighting.port)
         };
         let is_superseded = others()
             .filter(|known| {
-                known.state == State::Ready && known.since > own.heard_at
+                known.state == State::Ready
+                    && known.first_seen_at > own.heard_at
             })
             .filter(heard)
             .any(supersedes);
@@ -222,7 +227,7 @@
     /// Returns when an incarnation was last heard at any node, if it is known.
     pub fn last_heard(&self, incarnation: &str) -> Option<u64> {
         let found = position(&self.replicas, incarnation, |known| {
-            known.says.id.as_str()
+            known.sighting.id.as_str()
         });
         found.ok().map(|at| self.replicas[at].heard_at)
     }
@@ -234,15 +239,16 @@
     ) -> impl Iterator<Item = usize> + use<> {
         // An incarnation that never reported its start time has the replica's
         // id.
-        let without_start =
-            position(&self.replicas, replica, |known| known.says.id.as_str());
+        let without_start = position(&self.replicas, replica, |known| {
+            known.sighting.id.as_str()
+        });
         let prefix = format!("{replica}{INCARNATION_SEPARATOR}");
-        let from = self
-            .replicas
-            .partition_point(|known| known.says.id.as_str() < prefix.as_str());
+        let from = self.replicas.partition_point(|known| {
+            known.sighting.id.as_str() < prefix.as_str()
+        });
         let count = self.replicas[from..]
             .iter()
-            .take_while(|known| known.says.id.starts_with(&prefix))
+            .take_while(|known| known.sighting.id.starts_with(&prefix))
             .count();
         without_start.ok().into_iter().chain(from..from + count)
     }
@@ -257,40 +263,42 @@
     /// A departed incarnation becomes current again only when the one that
     /// superseded it has been silent for long, which shows that the heartbeat
     /// of the latter was the late one.
-    fn is_late(&self, sent_at: u64, says: &Sighting) -> bool {
-        let is_marked_departed = self.is_marked_departed(says);
-        match self.other_current(says) {
+    fn is_late(&self, sent_at: u64, sighting: &Sighting) -> bool {
+        let is_marked_departed = self.is_marked_departed(sighting);
+        match self.other_current(sighting) {
             Some(current) => {
-                (is_marked_departed || current.says.born > says.born)
+                (is_marked_departed || current.sighting.born > sighting.born)
                     && sent_at < current.heard_at + CLOCK_JUMP_SILENCE_MS
             }
             None => is_marked_departed,
         }
     }
 
-    fn is_marked_departed(&self, says: &Sighting) -> bool {
-        says.born != 0
-            && self.incarnations(replica_of(&says.id)).any(|known| {
-                known.says.born == says.born && known.state == State::Departed
+    fn is_marked_departed(&self, sighting: &Sighting) -> bool {
+        sighting.born != 0
+            && self.incarnations(replica_of(&sighting.id)).any(|known| {
+                known.sighting.born == sighting.born
+                    && known.state == State::Departed
             })
     }
 
     /// Returns the replica's other incarnation that has not departed. There is
     /// at most one, because each heartbeat supersedes the other incarnations.
-    fn other_current(&self, says: &Sighting) -> Option<&Replica> {
-        self.incarnations(replica_of(&says.id)).find(|known| {
-            known.says.born != says.born && known.state != State::Departed
+    fn other_current(&self, sighting: &Sighting) -> Option<&Replica> {
+        self.incarnations(replica_of(&sighting.id)).find(|known| {
+            known.sighting.born != sighting.born
+                && known.state != State::Departed
         })
     }
 
     /// Revives an incarnation that was superseded by a late heartbeat of
     /// another one.
-    fn revive(&mut self, says: &Sighting) {
-        if !self.is_marked_departed(says) {
+    fn revive(&mut self, sighting: &Sighting) {
+        if !self.is_marked_departed(sighting) {
             return;
         }
-        self.replicas.retain(|known| known.says.id != says.id);
-        let hash = replica_hash(&says.id);
+        self.replicas.retain(|known| known.sighting.id != sighting.id);
+        let hash = replica_hash(&sighting.id);
         self.departures.retain(|(departed, _)| *departed != hash);
     }
 
@@ -299,18 +307,19 @@
     /// A replica that crashes and restarts does not report the crash. Without
     /// this, requests would be sent to its former incarnation until that has
     /// been silent for seconds.
-    fn supersede_others(&mut self, now: u64, says: &Sighting) {
-        let incarnations = self.incarnation_positions(replica_of(&says.id));
+    fn supersede_others(&mut self, now: u64, sighting: &Sighting) {
+        let incarnations =
+            self.incarnation_positions(replica_of(&sighting.id));
         for at in incarnations {
             let replica = &mut self.replicas[at];
-            if replica.says.born == says.born
+            if replica.sighting.born == sighting.born
                 || replica.state == State::Departed
             {
                 continue;
             }
             replica.state = State::Departed;
-            replica.says.state = State::Departed as u32;
-            replica.left_at = now;
+            replica.sighting.state = State::Departed as u32;
+            replica.leaving_since = now;
             let hash = replica.hash;
             self.record_departure(now, hash);
         }
@@ -322,11 +331,11 @@
 
     /// Returns true if a departure notice without a start time has just been
     /// received for the replica.
-    fn has_departure_notice(&self, now: u64, says: &Sighting) -> bool {
-        if says.born == 0 {
+    fn has_departure_notice(&self, now: u64, sighting: &Sighting) -> bool {
+        if sighting.born == 0 {
             return false;
         }
-        let hash = replica_hash(replica_of(&says.id));
+        let hash = replica_hash(replica_of(&sighting.id));
         position(&self.departures, &hash, |(hash, _)| hash)
             .is_ok_and(|at| now < self.departures[at].1 + DEPARTURE_NOTICE_MS)
     }
@@ -339,33 +348,36 @@
     /// the remembered replicas is safe, because each request names the replica
     /// that it is meant for and another replica at its address does not run
     /// it.
-    pub fn add_remembered(&mut self, now: u64, says: Sighting) {
+    pub fn add_remembered(&mut self, now: u64, sighting: Sighting) {
         let is_known =
-            self.incarnations(replica_of(&says.id)).next().is_some();
-        let hash = replica_hash(&says.id);
+            self.incarnations(replica_of(&sighting.id)).next().is_some();
+        let hash = replica_hash(&sighting.id);
         let has_departed = self.has_departure(hash);
-        let is_ready = State::from_u32(says.state) == State::Ready;
-        if is_known || has_departed || !is_ready || says.service.is_empty() {
+        let is_ready = State::from_u32(sighting.state) == State::Ready;
+        if is_known || has_departed || !is_ready || sighting.service.is_empty()
+        {
             return;
         }
         let replica = Replica {
-            says,
+            sighting,
             state: State::Ready,
             heard_at: now,
-            since: now,
-            left_at: now,
+            first_seen_at: now,
+            leaving_since: now,
             remembered_until: Some(now + REMEMBERED_REPLICA_TIMEOUT_MS),
             pending_sends: 0,
             pending_full_sends: 0,
             hash,
         };
-        upsert(&mut self.replicas, replica, |known| known.says.id.as_str());
+        upsert(&mut self.replicas, replica, |known| {
+            known.sighting.id.as_str()
+        });
     }
 
     /// Returns the usable replicas, to send to a starting node.
     pub fn usable(&self, now: u64) -> Vec<Sighting> {
         let usable = self.replicas.iter().filter(|replica| {
-            replica.state == State::Ready && replica.may_be_used(now)
+            replica.state == State::Ready && replica.is_usable(now)
         });
         usable.map(|replica| replica.to_sighting(now)).collect()
     }
@@ -389,14 +401,14 @@
             return false;
         }
         let ready = self.replicas.iter_mut().find(|known| {
-            let replica = replica_of(&known.says.id);
+            let replica = replica_of(&known.sighting.id);
             known.state == State::Ready
                 && (known.hash == hash || replica_hash(replica) == hash)
         });
         let Some(replica) = ready else { return false };
         replica.state = State::Leaving;
-        replica.says.state = State::Leaving as u32;
-        replica.left_at = now;
+        replica.sighting.state = State::Leaving as u32;
+        replica.leaving_since = now;
         true
     }
 
@@ -418,19 +430,19 @@
     fn add_replica(
         &mut self,
         now: u64,
-        says: Sighting,
+        sighting: Sighting,
         state: State,
         heard_at: u64,
         is_direct: bool,
     ) {
         let sends = if is_direct { u32::MAX } else { 0 };
         let replica = Replica {
-            hash: replica_hash(&says.id),
-            says,
+            hash: replica_hash(&sighting.id),
+            sighting,
             state,
             heard_at,
-            since: now,
-            left_at: now,
+            first_seen_at: now,
+            leaving_since: now,
             remembered_until: None,
             // Only the node that received the heartbeat directly sends it to
             // all other nodes. If the others did so too, every node would send
@@ -438,6 +450,8 @@
             pending_sends: sends,
             pending_full_sends: sends,
         };
-        upsert(&mut self.replicas, replica, |known| known.says.id.as_str());
+        upsert(&mut self.replicas, replica, |known| {
+            known.sighting.id.as_str()
+        });
     }
 }
--- a/src/mesh/replica.rs
+++ b/src/mesh/replica.rs
@@ -36,16 +36,16 @@
     /// One incarnation of a replica.
     pub struct Replica {
         /// Its last heartbeat, in wire format.
-        pub says: Sighting,
+        pub sighting: Sighting,
         /// Whether it may be sent requests.
         pub state: State,
         /// When its last heartbeat was received at any node, by this node's
         /// clock.
         pub heard_at: u64,
         /// When this node first learnt of it.
-        pub since: u64,
+        pub first_seen_at: u64,
         /// When this node first learnt that it was leaving.
-        pub left_at: u64,
+        pub leaving_since: u64,
         /// Set if it has not been heard since this node started: the time
         /// until which it is used all the same.
         pub remembered_until: Option<u64>,
@@ -68,13 +68,15 @@
 
     /// Returns true if it takes requests, or if it is leaving and other
     /// replicas can still fetch from its cache.
-    pub fn may_be_used(&self, now: u64) -> bool {
+    pub fn is_usable(&self, now: u64) -> bool {
         if self.remembered_until.is_some_and(|until| now >= until) {
             return false;
         }
         match self.state {
             State::Ready => true,
-            State::Leaving => now < self.left_at + LEAVING_CACHE_FETCH_MS,
+            State::Leaving => {
+                now < self.leaving_since + LEAVING_CACHE_FETCH_MS
+            }
             State::Departed => false,
         }
     }
@@ -82,12 +84,12 @@
     /// Applies a heartbeat. Returns true if the state has changed.
     pub(super) fn apply_sighting(
         &mut self,
-        says: Sighting,
+        sighting: Sighting,
         state: State,
         heard_at: u64,
         is_direct: bool,
     ) -> bool {
-        let is_newer = says.sequence > self.says.sequence;
+        let is_newer = sighting.sequence > self.sighting.sequence;
         if is_newer {
             self.heard_at = self.heard_at.max(heard_at);
             self.remembered_until = None;
@@ -95,14 +97,14 @@
         let has_new_state = state > self.state;
         if has_new_state {
             self.state = state;
-            self.left_at = heard_at;
+            self.leaving_since = heard_at;
         }
         let mut differs = has_new_state;
-        if is_newer && !says.service.is_empty() {
-            differs |= self.differs_from(&says);
-            self.says = says;
+        if is_newer && !sighting.service.is_empty() {
+            differs |= self.differs_from(&sighting);
+            self.sighting = sighting;
         }
-        self.says.state = self.state as u32;
+        self.sighting.state = self.state as u32;
         if has_new_state || (is_newer && is_direct) {
             self.pending_sends = u32::MAX;
         }
@@ -114,14 +116,14 @@
 
     /// Returns true if anything but the sequence number and the state has
     /// changed.
-    fn differs_from(&self, says: &Sighting) -> bool {
-        let known = &self.says;
-        known.ip != says.ip
-            || known.port != says.port
-            || known.slots != says.slots
-            || known.service != says.service
-            || known.reclaimable != says.reclaimable
-            || known.leaves_ms != says.leaves_ms
+    fn differs_from(&self, sighting: &Sighting) -> bool {
+        let known = &self.sighting;
+        known.ip != sighting.ip
+            || known.port != sighting.port
+            || known.slots != sighting.slots
+            || known.service != sighting.service
+            || known.reclaimable != sighting.reclaimable
+            || known.leaves_ms != sighting.leaves_ms
     }
 
     /// Applies a relayed heartbeat.
@@ -131,13 +133,15 @@
         beat: &Beat,
         is_direct: bool,
     ) {
-        if beat.sequence <= self.says.sequence || self.state != State::Ready {
+        if beat.sequence <= self.sighting.sequence
+            || self.state != State::Ready
+        {
             return;
         }
         let heard_at = now.saturating_sub(u64::from(beat.age_ms));
         self.heard_at = self.heard_at.max(heard_at);
         self.remembered_until = None;
-        self.says.sequence = beat.sequence;
+        self.sighting.sequence = beat.sequence;
         if is_direct {
             self.pending_sends = u32::MAX;
         }
@@ -147,7 +151,7 @@
     pub(super) fn last_beat(&self, now: u64) -> Beat {
         Beat {
             replica: self.hash,
-            sequence: self.says.sequence,
+            sequence: self.sighting.sequence,
             age_ms: now.saturating_sub(self.heard_at) as u32,
         }
     }
@@ -156,6 +160,6 @@
     pub(super) fn to_sighting(&self, now: u64) -> Sighting {
         let age_ms = now.saturating_sub(self.heard_at);
         let remembered = self.remembered_until.is_some();
-        Sighting { age_ms: age_ms as u32, remembered, ..self.says.clone() }
+        Sighting { age_ms: age_ms as u32, remembered, ..self.sighting.clone() }
     }
 }
--- a/src/mesh/role.rs
+++ b/src/mesh/role.rs
@@ -76,8 +76,8 @@
 
 impl Role {
     /// Returns the role that a node announces.
-    pub fn of(says: &Peer) -> Role {
-        match says.role {
+    pub fn of(peer: &Peer) -> Role {
+        match peer.role {
             0 => Role::Active,
             1 => Role::Draining,
             _ => Role::Standby,
@@ -86,8 +86,8 @@
 
     /// Returns true for members, which exchange reports of their load: all
     /// nodes that may have requests, and those that can lead.
-    pub fn is_member(says: &Peer) -> bool {
-        says.has_disk || Role::of(says) != Role::Standby
+    pub fn is_member(peer: &Peer) -> bool {
+        peer.has_disk || Role::of(peer) != Role::Standby
     }
 }
 
@@ -227,15 +227,15 @@
 
 /// Returns the position in the order in which nodes of a data centre become
 /// active.
-fn rank(says: &Peer) -> (bool, u64) {
-    (says.has_disk, crate::util::mix(u64::from(says.ip)))
+fn rank(peer: &Peer) -> (bool, u64) {
+    (peer.has_disk, crate::util::mix(u64::from(peer.ip)))
 }
 
 /// Returns a standby node's position among those that may become active, from
 /// 0 to 1. It does not depend on the rank: the first nodes by rank are active
 /// already, so the low positions would all be taken.
-fn activation_position(says: &Peer) -> f64 {
-    let hash = crate::util::mix(!u64::from(says.ip));
+fn activation_position(peer: &Peer) -> f64 {
+    let hash = crate::util::mix(!u64::from(peer.ip));
     hash as f64 / u64::MAX as f64
 }
 
--- a/src/mesh/round.rs
+++ b/src/mesh/round.rs
@@ -173,7 +173,7 @@
             return Vec::new();
         }
         let near = self.own().data_centre.clone();
-        let is_near = |node: &&Node| node.says.data_centre == near;
+        let is_near = |node: &&Node| node.peer.data_centre == near;
         let mut to = ips(self.members(round.now).filter(is_near));
         if to.is_empty() {
             to = ips(self.members(round.now));
@@ -212,7 +212,7 @@
         // All known members, whether heard at the moment or not: where
         // hundreds of nodes have just started, each hears a part of them.
         let known = self.nodes().iter();
-        let to = ips(known.filter(|node| Role::is_member(&node.says)));
+        let to = ips(known.filter(|node| Role::is_member(&node.peer)));
         vec![Datagram { to, gossip }]
     }
 
@@ -255,7 +255,7 @@
         let me = Ipv4Addr::from(self.own().ip);
         let known = self.nodes().iter();
         let mut silent: Vec<Ipv4Addr> = known
-            .filter(|node| Role::is_member(&node.says))
+            .filter(|node| Role::is_member(&node.peer))
             .map(Node::ip)
             .chain(seeds.iter().copied())
             .filter(|ip| *ip != me && !live.contains(ip))
@@ -268,7 +268,7 @@
     /// Returns some of the standby nodes that were heard recently, in turn.
     fn next_standbys(&mut self, now: u64) -> Vec<Ipv4Addr> {
         let standbys = self.nodes().iter().filter(|node| {
-            !Role::is_member(&node.says)
+            !Role::is_member(&node.peer)
                 && now < node.heard_at + MAX_STANDBY_REPORT_AGE_MS
         });
         let standbys = ips(standbys);
@@ -286,12 +286,12 @@
     pub fn handed_out(&self, now: u64, near: Option<&str>) -> Vec<Ipv4Addr> {
         let own = self.is_active().then_some((self.own().ip, self.own()));
         let others = self.live(now).filter(|node| node.is_active());
-        let others = others.map(|node| (node.says.ip, &node.says));
+        let others = others.map(|node| (node.peer.ip, &node.peer));
         let mut all: Vec<(u32, &Peer)> = own.into_iter().collect();
         all.extend(others);
         if all.len() > MAX_ACTIVE_FOR_ALL_CALLERS {
-            let is_near = |(_, says): &&(u32, &Peer)| {
-                near.is_some_and(|near| says.data_centre == near)
+            let is_near = |(_, peer): &&(u32, &Peer)| {
+                near.is_some_and(|near| peer.data_centre == near)
             };
             if all.iter().filter(is_near).count() >= MIN_ACTIVE_IN_DATA_CENTRE
             {
@@ -309,7 +309,7 @@
 
     /// Returns the nodes that can lead, which alone make usage reports.
     fn nodes_with_disk(&self, now: u64) -> Vec<Ipv4Addr> {
-        ips(self.live(now).filter(|node| node.says.has_disk))
+        ips(self.live(now).filter(|node| node.peer.has_disk))
     }
 }
 
--- a/src/mesh/table.rs
+++ b/src/mesh/table.rs
@@ -59,7 +59,7 @@
     /// Another node.
     pub struct Node {
         /// Its last report of itself.
-        pub says: Peer,
+        pub peer: Peer,
         /// When it sent its last known report, by this node's clock.
         pub heard_at: u64,
         /// When it was last heard directly, not through other nodes.
@@ -187,13 +187,13 @@
 
     /// Returns the live nodes that exchange reports of their load.
     pub fn members(&self, now: u64) -> impl Iterator<Item = &Node> {
-        self.live(now).filter(|node| Role::is_member(&node.says))
+        self.live(now).filter(|node| Role::is_member(&node.peer))
     }
 
     /// Returns the number of nodes that serve, in any role, including this
     /// one.
     pub fn serving(&self) -> usize {
-        self.nodes.iter().filter(|node| node.says.serving).count() + 1
+        self.nodes.iter().filter(|node| node.peer.serving).count() + 1
     }
 
     /// Returns the number of other live nodes that may have callers' requests.
@@ -227,12 +227,12 @@
         self.me.rate = self.rate.update(now, begun);
         let before = Role::of(&self.me);
         let serving: Vec<&Node> =
-            self.live(now).filter(|node| node.says.serving).collect();
+            self.live(now).filter(|node| node.peer.serving).collect();
         let is_near =
-            |node: &&Node| node.says.data_centre == self.me.data_centre;
+            |node: &&Node| node.peer.data_centre == self.me.data_centre;
         let mut data_centres: Vec<&str> = serving
             .iter()
-            .map(|node| node.says.data_centre.as_str())
+            .map(|node| node.peer.data_centre.as_str())
             .chain([self.me.data_centre.as_str()])
             .collect();
         data_centres.sort_unstable();
@@ -241,7 +241,7 @@
             .iter()
             .copied()
             .filter(is_near)
-            .map(|node| node.says.rate)
+            .map(|node| node.peer.rate)
             .sum();
         let view = View {
             near: serving
@@ -249,7 +249,7 @@
                 .copied()
                 .filter(is_near)
                 .filter(|node| node.is_active())
-                .map(|node| &node.says)
+                .map(|node| &node.peer)
                 .collect(),
             rate: self.me.rate + others,
             serving: serving.len() + 1,
@@ -299,7 +299,7 @@
         let others = self
             .nodes
             .iter()
-            .map(|node| (node.says.incarnation, node.work.as_slice()));
+            .map(|node| (node.peer.incarnation, node.work.as_slice()));
         let own = (self.me.incarnation, self.own_work.as_slice());
         std::iter::once(own)
             .chain(others)
@@ -320,7 +320,7 @@
         let timeout_ms = self.unheard_timeout_ms(now);
         self.nodes.iter().map(move |node| {
             let is_heard = now < node.heard_directly_at + timeout_ms;
-            (node.says.incarnation, node.spent.as_slice(), is_heard)
+            (node.peer.incarnation, node.spent.as_slice(), is_heard)
         })
     }
 
@@ -331,7 +331,7 @@
         let order = |ip: u32| mix(subject ^ mix(ip.into()));
         let own = order(self.me.ip);
         let others = self.live(now).filter(|node| node.is_entry(now));
-        others.filter(|node| order(node.says.ip) < own).count()
+        others.filter(|node| order(node.peer.ip) < own).count()
     }
 
     /// Returns this node's position in the order of the active nodes for
@@ -349,7 +349,7 @@
         let mut nodes = 1;
         for node in self.live(now).filter(|node| node.is_active()) {
             nodes += 1;
-            rank += usize::from(order(node.says.ip) < own);
+            rank += usize::from(order(node.peer.ip) < own);
         }
         Some((rank, nodes))
     }
@@ -432,20 +432,20 @@
             let originator = self
                 .nodes
                 .iter()
-                .find(|node| node.says.incarnation == incarnation);
+                .find(|node| node.peer.incarnation == incarnation);
             match originator {
                 None => true,
                 // It sends its counts to the nodes that can lead, and to no
                 // other node.
-                Some(node) if Role::of(&node.says) == Role::Standby => {
+                Some(node) if Role::of(&node.peer) == Role::Standby => {
                     now >= node.heard_at + STANDBY_TIMEOUT_MS
                 }
                 Some(node) if !self.is_live(now, node) => true,
                 // Only nodes that can lead need the counts.
                 Some(node) => self
                     .live(now)
-                    .filter(|other| other.says.has_disk)
-                    .any(|other| other.unheard.contains(&node.says.ip)),
+                    .filter(|other| other.peer.has_disk)
+                    .any(|other| other.unheard.contains(&node.peer.ip)),
             }
         })
     }
@@ -454,11 +454,11 @@
 impl Node {
     /// Returns its address.
     pub fn ip(&self) -> Ipv4Addr {
-        Ipv4Addr::from(self.says.ip)
+        Ipv4Addr::from(self.peer.ip)
     }
     /// Returns true if callers are sent to it.
     pub fn is_active(&self) -> bool {
-        self.says.serving && Role::of(&self.says) == Role::Active
+        self.peer.serving && Role::of(&self.peer) == Role::Active
     }
 
     /// Returns true if callers' requests may come in at the node.
@@ -466,18 +466,18 @@
     /// A draining node that has been silent for longer than a drain takes is
     /// on standby, and its report of that was lost.
     fn is_entry(&self, now: u64) -> bool {
-        let may_have_requests = match Role::of(&self.says) {
+        let may_have_requests = match Role::of(&self.peer) {
             Role::Active => true,
             Role::Draining => now < self.heard_at + DRAIN_DURATION_MS,
             Role::Standby => false,
         };
-        self.says.serving && may_have_requests
+        self.peer.serving && may_have_requests
     }
 
     /// Returns its report for other nodes, with the present age.
     pub(super) fn to_peer(&self, now: u64) -> Peer {
         let age_ms = now.saturating_sub(self.heard_at) as u32;
-        Peer { age_ms, ..self.says.clone() }
+        Peer { age_ms, ..self.peer.clone() }
     }
 }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -457,7 +457,7 @@
             let mut table = mesh.table();
             let mut best = (table.own().leader_term, table.own().leader);
             for node in table.live(now) {
-                let says = &node.says;
+                let says = &node.peer;
                 if says.has_disk {
                     members.push((node.ip(), self.peer_port).into());
                 }
--- a/src/node/plan.rs
+++ b/src/node/plan.rs
@@ -113,8 +113,8 @@
         }
         let leader = u32::from(*seat::address_of(own.leader).ip());
         let wide = |node: &&table::Node| {
-            node.says.ip == leader
-                && node.says.link_mbps >= WIDER * own.link_mbps
+            node.peer.ip == leader
+                && node.peer.link_mbps >= WIDER * own.link_mbps
         };
         let now = self.gateway.timer.now();
         table.live(now).find(wide).map(table::Node::ip)
@@ -245,7 +245,7 @@
     let held = node.gateway.plan_version();
     let leader = *seat::address_of(table.own().leader).ip();
     let now = node.gateway.timer.now();
-    let newer = table.live(now).filter(|one| one.says.plan_version > held);
+    let newer = table.live(now).filter(|one| one.peer.plan_version > held);
     let (leader, others): (Vec<_>, Vec<_>) =
         newer.map(table::Node::ip).partition(|ip| *ip == leader);
     (others, leader.first().copied())
@@ -255,7 +255,7 @@
     let Some(mesh) = node.mesh.get() else { return false };
     let table = mesh.table();
     let now = node.gateway.timer.now();
-    table.live(now).filter(|one| one.says.has_disk).count() > 1
+    table.live(now).filter(|one| one.peer.has_disk).count() > 1
 }
 
 /// Fetches a plan from a peer.
--- a/src/node/recall.rs
+++ b/src/node/recall.rs
@@ -220,7 +220,7 @@
     let table = node.mesh.get()?.table();
     // Whoever stands by knows no more.
     let live = table.members(node.gateway.timer.now());
-    let able = live.filter(|one| one.says.has_disk || !with_disk);
+    let able = live.filter(|one| one.peer.has_disk || !with_disk);
     able.map(|one| one.ip()).choose(&mut rand::rng())
 }
 
--- a/tests/all/mesh.rs
+++ b/tests/all/mesh.rs
@@ -40,7 +40,8 @@
 }
 
 fn state(table: &Table, id: &str) -> Option<State> {
-    let found = table.replicas().iter().find(|replica| replica.says.id == id);
+    let found =
+        table.replicas().iter().find(|replica| replica.sighting.id == id);
     found.map(|replica| replica.state)
 }
 
@@ -84,8 +85,8 @@
     table.hear(0, 0, last);
     let relayed = Gossip { peers: vec![peer(2, 19)], ..gossip(3, 1) };
     table.hear(1, 0, relayed);
-    let node = table.nodes().iter().find(|node| node.says.ip == 2).unwrap();
-    assert!(!node.says.serving);
+    let node = table.nodes().iter().find(|node| node.peer.ip == 2).unwrap();
+    assert!(!node.peer.serving);
 }
 
 /// Guards against ignoring a restarted node whose clock has jumped back, for
@@ -96,8 +97,8 @@
     table.hear(0, 0, gossip(2, 5000));
     let again = Peer { incarnation: 7, ..peer(2, 10) };
     table.hear(1, 0, Gossip { from: Some(again), ..Gossip::default() });
-    let node = table.nodes().iter().find(|node| node.says.ip == 2).unwrap();
-    assert_eq!(node.says.incarnation, 7);
+    let node = table.nodes().iter().find(|node| node.peer.ip == 2).unwrap();
+    assert_eq!(node.peer.incarnation, 7);
 }
 
 /// Guards against billing requests to the wrong window when the clock jumps on
--- a/tests/all/mesh_scale.rs
+++ b/tests/all/mesh_scale.rs
@@ -429,7 +429,7 @@
             let ready = vm.table.replicas().iter();
             late += ready
                 .filter(|replica| replica.state == State::Ready)
-                .filter(|replica| replica.says.ip % 6 == 0x0a80_0000 % 6)
+                .filter(|replica| replica.sighting.ip % 6 == 0x0a80_0000 % 6)
                 .count();
         }
         let pairs = leaving.len() * nodes;
--- a/tests/all/roles.rs
+++ b/tests/all/roles.rs
@@ -42,10 +42,10 @@
             for (me, selector, role) in &mut self.nodes {
                 let near = before
                     .iter()
-                    .filter(|(says, _, role)| {
-                        says.ip != me.ip && *role == Role::Active
+                    .filter(|(peer, _, role)| {
+                        peer.ip != me.ip && *role == Role::Active
                     })
-                    .map(|(says, ..)| says);
+                    .map(|(peer, ..)| peer);
                 let view = View {
                     near: near.collect(),
                     rate: self.rate,
@@ -101,7 +101,7 @@
     data_centre.run(6000);
     let lost: Vec<u32> =
         data_centre.active().iter().take(5).map(|node| node.ip).collect();
-    data_centre.nodes.retain(|(says, ..)| !lost.contains(&says.ip));
+    data_centre.nodes.retain(|(peer, ..)| !lost.contains(&peer.ip));
     data_centre.run(3600);
     let active = data_centre.active().len();
     assert!((6..=12).contains(&active), "{active} active");
