--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -61,7 +61,7 @@
         let sightings: Vec<Sighting> =
             (0..replicas).map(|at| sighting(at, 1)).collect();
         for sighting in &sightings {
-            table.sight(0, sighting.clone(), false);
+            table.apply_sighting(0, sighting.clone(), false);
         }
         let hashes: Vec<u64> = sightings
             .iter()
@@ -84,13 +84,13 @@
             ..Gossip::default()
         };
         let beats = time(|turn| {
-            black_box(table.hear(20, 20, datagram(turn)));
+            black_box(table.receive(20, 20, datagram(turn)));
         });
         let mut sequence = 1 << 40;
         let sight = time(|turn| {
             sequence += 1;
             let sighting = sighting(turn % replicas, sequence);
-            black_box(table.sight(20, sighting, true));
+            black_box(table.apply_sighting(20, sighting, true));
         });
         let service = replica_hash("llm");
         let caches = time(|turn| {
--- a/src/duty/usage.rs
+++ b/src/duty/usage.rs
@@ -39,7 +39,7 @@
         let now = tools.timer.now();
         let offset = tools.mesh.table().clock_offset(now);
         let wall = (wall_ms() as i64 + offset).max(0) as u64;
-        let settle_ms = match tools.mesh.table().hears_all(now) {
+        let settle_ms = match tools.mesh.table().hears_all_entries(now) {
             true => SETTLE_MS,
             false => LAST_MS,
         };
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -177,7 +177,7 @@
                 service.places.clear();
             }
         }
-        let peers = table.entries(now);
+        let peers = table.live_entry_count(now);
         for service in &mut self.services {
             service.pool.set_peers(peers);
         }
@@ -556,7 +556,7 @@
             self.pool.set_replicas(near, &identities);
             self.set_places(replicas.clone(), memory);
         }
-        let lag_ms = load_lag_ms(table.reach(now).0) as u64;
+        let lag_ms = load_lag_ms(table.entry_counts(now).0) as u64;
         let loads = table.loads(now);
         for (at, replica) in replicas.enumerate() {
             // The requests that other nodes have sent to a new replica are not
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -327,7 +327,7 @@
     fn entries(&self) -> usize {
         let now = self.timer.now();
         let Some(mesh) = self.mesh.get() else { return 1 };
-        mesh.table().reach(now).0
+        mesh.table().entry_counts(now).0
     }
 
     /// Picks one of the route's services at random, by weight.
--- a/src/gateway/quotas.rs
+++ b/src/gateway/quotas.rs
@@ -118,7 +118,7 @@
     ) {
         self.detect_stall(now);
         let mut quotas = self.quotas();
-        let reach = table.reach(now);
+        let reach = table.entry_counts(now);
         let joins = self.is_joining(now);
         for team in plan.map_or(&[][..], Plan::teams) {
             if let Some(quota) = team.quota {
@@ -233,7 +233,7 @@
     fn reach(&self) -> (usize, usize) {
         let now = self.timer.now();
         let mesh = self.mesh.get();
-        mesh.map_or((1, 0), |mesh| mesh.table().reach(now))
+        mesh.map_or((1, 0), |mesh| mesh.table().entry_counts(now))
     }
 
     fn allowance(
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -120,7 +120,7 @@
         let parts: Vec<Allocation> = limits
             .limited()
             .map(|(replica, limit)| {
-                let position = table.place(now, replica);
+                let position = table.active_rank(now, replica);
                 let share = position
                     .map_or(0.0, |(rank, nodes)| share(limit, rank, nodes));
                 Allocation { replica, limit, share }
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -176,7 +176,7 @@
         let now = self.signed_now();
         let rank = match self.mesh.get() {
             Some(mesh) if reason.wait_ms == 0 => {
-                mesh.table().rank(self.timer.now(), fingerprint)
+                mesh.table().entry_rank(self.timer.now(), fingerprint)
             }
             _ => 0,
         };
--- a/src/mesh/datagram.rs
+++ b/src/mesh/datagram.rs
@@ -70,7 +70,7 @@
 
 impl Table {
     /// Applies a received datagram. `wall_ms` is this node's wall-clock time.
-    pub fn hear(&mut self, now: u64, wall_ms: i64, gossip: Gossip) -> News {
+    pub fn receive(&mut self, now: u64, wall_ms: i64, gossip: Gossip) -> News {
         let mut news = News::default();
         let Some(from) = gossip.from else { return news };
         if from.ip == self.me.ip {
@@ -105,7 +105,7 @@
         }
         for sighting in gossip.replicas {
             let leaves = State::from_u32(sighting.state) != State::Ready;
-            let changed = self.sight(now, sighting, relays);
+            let changed = self.apply_sighting(now, sighting, relays);
             news.replicas |= changed;
             news.leaves |= changed && leaves;
         }
--- a/src/mesh/lives.rs
+++ b/src/mesh/lives.rs
@@ -82,7 +82,7 @@
 
 impl Table {
     /// Applies a heartbeat. Returns true if other nodes need to know of it.
-    pub fn sight(
+    pub fn apply_sighting(
         &mut self,
         now: u64,
         sighting: Sighting,
--- a/src/mesh/mod.rs
+++ b/src/mesh/mod.rs
@@ -227,9 +227,9 @@
         let Some(before) = table.update_role(now, begun) else {
             return News::default();
         };
-        let role = Role::of(table.own());
-        let rate = table.own().rate;
-        let (entries, unheard) = table.reach(now);
+        let role = Role::of(table.own_peer());
+        let rate = table.own_peer().rate;
+        let (entries, unheard) = table.entry_counts(now);
         drop(table);
         info!(
             target: "mesh",
@@ -291,7 +291,7 @@
             host.limits(&gossip.limits);
         }
         let now = shared.timer.now();
-        let news = shared.table().hear(now, wall_ms() as i64, gossip);
+        let news = shared.table().receive(now, wall_ms() as i64, gossip);
         if news != News::default() {
             host.clone().news(news);
         }
--- a/src/mesh/round.rs
+++ b/src/mesh/round.rs
@@ -168,11 +168,11 @@
     /// Asks one node every second round, in this node's data centre if
     /// possible.
     fn standby_round(&mut self, round: Round, own: Own) -> Vec<Datagram> {
-        let me = u64::from(self.own().ip);
+        let me = u64::from(self.own_peer().ip);
         if !(round.number + me).is_multiple_of(STANDBY_QUERY_INTERVAL_ROUNDS) {
             return Vec::new();
         }
-        let near = self.own().data_centre.clone();
+        let near = self.own_peer().data_centre.clone();
         let is_near = |node: &&Node| node.peer.data_centre == near;
         let mut to = ips(self.members(round.now).filter(is_near));
         if to.is_empty() {
@@ -252,7 +252,7 @@
         if !self.is_member() && live.len() >= MIN_HEARD_WITHOUT_SEEDS {
             return Vec::new();
         }
-        let me = Ipv4Addr::from(self.own().ip);
+        let me = Ipv4Addr::from(self.own_peer().ip);
         let known = self.nodes().iter();
         let mut silent: Vec<Ipv4Addr> = known
             .filter(|node| Role::is_member(&node.peer))
@@ -283,8 +283,13 @@
     /// Returns the nodes that callers in a data centre may connect to: the
     /// active nodes there, or those of all data centres if too few are there
     /// or there are few active nodes in all.
-    pub fn handed_out(&self, now: u64, near: Option<&str>) -> Vec<Ipv4Addr> {
-        let own = self.is_active().then_some((self.own().ip, self.own()));
+    pub fn caller_addresses(
+        &self,
+        now: u64,
+        near: Option<&str>,
+    ) -> Vec<Ipv4Addr> {
+        let own =
+            self.is_active().then_some((self.own_peer().ip, self.own_peer()));
         let others = self.live(now).filter(|node| node.is_active());
         let others = others.map(|node| (node.peer.ip, &node.peer));
         let mut all: Vec<(u32, &Peer)> = own.into_iter().collect();
--- a/src/mesh/table.rs
+++ b/src/mesh/table.rs
@@ -166,12 +166,12 @@
     }
 
     /// Returns this node's report of itself, to be changed in place.
-    pub fn me(&mut self) -> &mut Peer {
+    pub fn own_peer_mut(&mut self) -> &mut Peer {
         &mut self.me
     }
 
     /// Returns this node's report of itself.
-    pub fn own(&self) -> &Peer {
+    pub fn own_peer(&self) -> &Peer {
         &self.me
     }
 
@@ -192,12 +192,12 @@
 
     /// Returns the number of nodes that serve, in any role, including this
     /// one.
-    pub fn serving(&self) -> usize {
+    pub fn serving_count(&self) -> usize {
         self.nodes.iter().filter(|node| node.peer.serving).count() + 1
     }
 
     /// Returns the number of other live nodes that may have callers' requests.
-    pub fn entries(&self, now: u64) -> usize {
+    pub fn live_entry_count(&self, now: u64) -> usize {
         self.live(now).filter(|node| node.is_entry(now)).count()
     }
 
@@ -327,7 +327,7 @@
     /// Returns this node's rank in the order for `subject`, among the nodes
     /// that take callers' requests: the number of nodes that act before it.
     /// Nodes that hear each other find the same order.
-    pub fn rank(&self, now: u64, subject: u64) -> usize {
+    pub fn entry_rank(&self, now: u64, subject: u64) -> usize {
         let order = |ip: u32| mix(subject ^ mix(ip.into()));
         let own = order(self.me.ip);
         let others = self.live(now).filter(|node| node.is_entry(now));
@@ -339,7 +339,11 @@
     /// this node is not active.
     ///
     /// Nodes that hear each other find the same order.
-    pub fn place(&self, now: u64, subject: u64) -> Option<(usize, usize)> {
+    pub fn active_rank(
+        &self,
+        now: u64,
+        subject: u64,
+    ) -> Option<(usize, usize)> {
         if !self.is_active() {
             return None;
         }
@@ -357,7 +361,7 @@
     /// Returns the number of nodes that take callers' requests, including this
     /// one, and how many of them are not heard directly at the moment although
     /// they may be serving.
-    pub fn reach(&self, now: u64) -> (usize, usize) {
+    pub fn entry_counts(&self, now: u64) -> (usize, usize) {
         let entries = self.nodes.iter().filter(|node| node.is_entry(now));
         (entries.count() + 1, self.unheard(now).count())
     }
@@ -395,7 +399,7 @@
     }
 
     /// Returns true if every node that may serve is heard.
-    pub fn hears_all(&self, now: u64) -> bool {
+    pub fn hears_all_entries(&self, now: u64) -> bool {
         self.unheard(now).next().is_none()
     }
 
--- a/src/node/member.rs
+++ b/src/node/member.rs
@@ -23,7 +23,7 @@
         metrics.leads.set(seen.leads.into());
         if let (Some(mesh), Some(leader)) = (node.mesh.get(), seen.leader) {
             let mut table = mesh.table();
-            let me = table.me();
+            let me = table.own_peer_mut();
             if seen.hears_leader
                 && (seen.term, leader) > (me.leader_term, me.leader)
             {
@@ -42,7 +42,7 @@
     while !node.has_stopped() {
         sleep(JOIN).await;
         let leader = match node.mesh.get() {
-            Some(mesh) => mesh.table().own().leader,
+            Some(mesh) => mesh.table().own_peer().leader,
             None => 0,
         };
         if leader != 0 {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -300,7 +300,7 @@
         let now = node.gateway.timer.now();
         let port = node.front.port();
         let Some(mesh) = node.mesh.get() else { return Vec::new() };
-        let handed = mesh.table().handed_out(now, near);
+        let handed = mesh.table().caller_addresses(now, near);
         handed.into_iter().map(|ip| SocketAddrV4::new(ip, port)).collect()
     }
 
@@ -340,7 +340,7 @@
         let (state, leaves_ms) = (says.state, says.leaves_ms);
         let mut table = mesh.table();
         let former = table.former_incarnation(&says);
-        let changed = table.sight(now, says, true);
+        let changed = table.apply_sighting(now, says, true);
         drop(table);
         if changed {
             info!(
@@ -440,8 +440,8 @@
         let version = self.gateway.plan_version();
         if let Some(mesh) = self.mesh.get() {
             let mut table = mesh.table();
-            table.me().serving = ready;
-            table.me().plan_version = version;
+            table.own_peer_mut().serving = ready;
+            table.own_peer_mut().plan_version = version;
             drop(table);
             mesh.urge();
         }
@@ -455,7 +455,8 @@
         let mut newer = false;
         let leader = {
             let mut table = mesh.table();
-            let mut best = (table.own().leader_term, table.own().leader);
+            let mut best =
+                (table.own_peer().leader_term, table.own_peer().leader);
             for node in table.live(now) {
                 let says = &node.peer;
                 if says.has_disk {
@@ -466,11 +467,12 @@
                 }
                 newer |= says.plan_version > self.gateway.plan_version();
             }
-            if table.own().has_disk {
-                let ip = Ipv4Addr::from(table.own().ip);
+            if table.own_peer().has_disk {
+                let ip = Ipv4Addr::from(table.own_peer().ip);
                 members.push((ip, self.peer_port).into());
             }
-            (table.me().leader_term, table.me().leader) = best;
+            (table.own_peer_mut().leader_term, table.own_peer_mut().leader) =
+                best;
             best.1
         };
         self.control.set_members(&members);
--- a/src/node/plan.rs
+++ b/src/node/plan.rs
@@ -105,7 +105,7 @@
     /// takes a second over ten megabits.
     pub(super) fn faster_reader(&self, bytes: usize) -> Option<Ipv4Addr> {
         let table = self.mesh.get()?.table();
-        let own = table.own();
+        let own = table.own_peer();
         let bits = bytes as u64 * 8;
         let takes_ms = bits / (u64::from(own.link_mbps).max(1) * 1000);
         if own.link_mbps == 0 || takes_ms <= LONG_ANSWER_MS {
@@ -243,7 +243,7 @@
     let Some(mesh) = node.mesh.get() else { return (Vec::new(), None) };
     let table = mesh.table();
     let held = node.gateway.plan_version();
-    let leader = *seat::address_of(table.own().leader).ip();
+    let leader = *seat::address_of(table.own_peer().leader).ip();
     let now = node.gateway.timer.now();
     let newer = table.live(now).filter(|one| one.peer.plan_version > held);
     let (leader, others): (Vec<_>, Vec<_>) =
--- a/src/node/recall.rs
+++ b/src/node/recall.rs
@@ -204,7 +204,7 @@
     info!(target: "node", replicas = replicas.len(), "Replicas from {from}.");
     let now = node.gateway.timer.now();
     for says in replicas {
-        mesh.table().sight(now, change(says), false);
+        mesh.table().apply_sighting(now, change(says), false);
     }
     node.gateway.refresh();
 }
--- a/tests/all/fleet.rs
+++ b/tests/all/fleet.rs
@@ -70,7 +70,11 @@
                 let number = rng.random_range(0..6);
                 let state = u32::from(rng.random_bool(0.1));
                 let port = 80 + u32::from(rng.random_bool(0.2));
-                table.sight(now, says(number, sequence, state, port), true);
+                table.apply_sighting(
+                    now,
+                    says(number, sequence, state, port),
+                    true,
+                );
             }
             table.expire(now);
             updated.refresh(now, &table, None);
@@ -92,7 +96,7 @@
 #[test]
 fn replicas_known_before_the_plan_are_used() {
     let (mut table, mut fleet) = (table(), Fleet::open("one", BOUND));
-    table.sight(1000, says(1, 1, 0, 80), true);
+    table.apply_sighting(1000, says(1, 1, 0, 80), true);
     fleet.refresh(1000, &table, None);
     let plan = Plan::check(draft(1)).unwrap();
     fleet.refresh(1100, &table, Some(&plan));
--- a/tests/all/mesh.rs
+++ b/tests/all/mesh.rs
@@ -51,15 +51,15 @@
 #[test]
 fn a_replica_never_comes_back_from_leaving() {
     let mut table = table();
-    assert!(table.sight(0, sighting("a", 0, 1), true));
-    assert!(table.sight(1, sighting("a", 1, 2), true));
+    assert!(table.apply_sighting(0, sighting("a", 0, 1), true));
+    assert!(table.apply_sighting(1, sighting("a", 1, 2), true));
     let late = Gossip { replicas: vec![sighting("a", 0, 1)], ..gossip(2, 1) };
-    assert!(!table.hear(2, 0, late).replicas);
+    assert!(!table.receive(2, 0, late).replicas);
     let newer = Gossip { replicas: vec![sighting("a", 0, 9)], ..gossip(2, 2) };
-    table.hear(3, 0, newer);
+    table.receive(3, 0, newer);
     assert_eq!(state(&table, "a"), Some(State::Leaving));
-    table.sight(4, sighting("a", 2, 0), true);
-    table.sight(5, sighting("a", 1, 10), true);
+    table.apply_sighting(4, sighting("a", 2, 0), true);
+    table.apply_sighting(5, sighting("a", 1, 10), true);
     assert_eq!(state(&table, "a"), Some(State::Departed));
 }
 
@@ -69,8 +69,8 @@
 fn a_departure_before_the_first_heartbeat_counts() {
     let mut table = table();
     let departure = Sighting { service: String::new(), ..sighting("a", 2, 0) };
-    table.sight(0, departure, true);
-    table.sight(1, sighting("a", 0, 5), true);
+    table.apply_sighting(0, departure, true);
+    table.apply_sighting(1, sighting("a", 0, 5), true);
     assert_eq!(state(&table, "a"), Some(State::Departed));
 }
 
@@ -82,9 +82,9 @@
     let mut stopped = peer(2, 20);
     stopped.serving = false;
     let last = Gossip { from: Some(stopped), ..Gossip::default() };
-    table.hear(0, 0, last);
+    table.receive(0, 0, last);
     let relayed = Gossip { peers: vec![peer(2, 19)], ..gossip(3, 1) };
-    table.hear(1, 0, relayed);
+    table.receive(1, 0, relayed);
     let node = table.nodes().iter().find(|node| node.peer.ip == 2).unwrap();
     assert!(!node.peer.serving);
 }
@@ -94,9 +94,9 @@
 #[test]
 fn a_restarted_node_with_an_early_clock_is_accepted() {
     let mut table = table();
-    table.hear(0, 0, gossip(2, 5000));
+    table.receive(0, 0, gossip(2, 5000));
     let again = Peer { incarnation: 7, ..peer(2, 10) };
-    table.hear(1, 0, Gossip { from: Some(again), ..Gossip::default() });
+    table.receive(1, 0, Gossip { from: Some(again), ..Gossip::default() });
     let node = table.nodes().iter().find(|node| node.peer.ip == 2).unwrap();
     assert_eq!(node.peer.incarnation, 7);
 }
@@ -110,14 +110,14 @@
     for (ip, wall_ms) in [(2, 90_000), (3, 100_010), (4, 99_990), (5, 104_000)]
     {
         let heard = Gossip { wall_ms, ..gossip(ip, 1) };
-        table.hear(now, 100_000, heard);
+        table.receive(now, 100_000, heard);
     }
     assert!(table.clock_offset(now).abs() <= 10);
     // This node's own clock is the wrong one.
     let mut own = table;
     for (ip, beat) in [(2, 2), (3, 2), (4, 2), (5, 2)] {
         let heard = Gossip { wall_ms: 100_000, ..gossip(ip, beat) };
-        own.hear(now, 102_000, heard);
+        own.receive(now, 102_000, heard);
     }
     assert_eq!(own.clock_offset(now), -2000);
 }
@@ -136,7 +136,7 @@
     };
     for (beat, count) in [(1, 2), (2, 5), (3, 5), (4, 3)] {
         let datagram = Gossip { usage: counts(count), ..gossip(2, beat) };
-        table.hear(beat, 0, datagram);
+        table.receive(beat, 0, datagram);
     }
     let usage = table.usage(7);
     assert_eq!(usage.counts.len(), 1);
@@ -152,15 +152,15 @@
     let counts = vec![TeamCount { team, count: 5 }];
     let usage = vec![RecordUsage { window: 7, counts }];
     let mut witness = table();
-    witness.hear(0, 0, Gossip { usage, ..gossip(2, 1) });
+    witness.receive(0, 0, Gossip { usage, ..gossip(2, 1) });
     let mut leader = Table::open(peer(3, 0));
-    leader.hear(1, 0, witness.compose(1, 0, Own::default()));
+    leader.receive(1, 0, witness.compose(1, 0, Own::default()));
     assert!(
         leader.usage(7).counts.is_empty(),
         "the node may still report itself"
     );
     let later = 5000;
-    leader.hear(later, 0, witness.compose(later, 0, Own::default()));
+    leader.receive(later, 0, witness.compose(later, 0, Own::default()));
     assert_eq!(leader.usage(7).counts[0].count, 5);
 }
 
@@ -168,22 +168,22 @@
 fn sums_cover_the_nodes_that_are_heard() {
     let mut table = table();
     let under = |count| vec![Under { replica: 9, count, pending: 100 }];
-    table.hear(0, 0, Gossip { under: under(3), ..gossip(2, 1) });
-    table.hear(0, 0, Gossip { under: under(4), ..gossip(3, 1) });
+    table.receive(0, 0, Gossip { under: under(3), ..gossip(2, 1) });
+    table.receive(0, 0, Gossip { under: under(4), ..gossip(3, 1) });
     assert_eq!(table.loads(1).at(9), (7, 200));
-    assert_eq!(table.reach(1), (3, 0));
+    assert_eq!(table.entry_counts(1), (3, 0));
     // One node becomes silent: its requests no longer count, but it may be
     // serving.
-    table.hear(2000, 0, Gossip { under: under(4), ..gossip(3, 2) });
+    table.receive(2000, 0, Gossip { under: under(4), ..gossip(3, 2) });
     assert_eq!(table.loads(2000).at(9), (4, 100));
-    assert_eq!(table.reach(2000), (3, 1));
+    assert_eq!(table.entry_counts(2000), (3, 1));
 }
 
 #[test]
 fn spent_tokens_are_known_by_incarnation() {
     let mut table = table();
     let spent = vec![Spent { team: 5, tokens: 70 }];
-    table.hear(0, 0, Gossip { spent, ..gossip(2, 1) });
+    table.receive(0, 0, Gossip { spent, ..gossip(2, 1) });
     let known: Vec<(u64, &[Spent], bool)> = table.spent(1).collect();
     let spent = [Spent { team: 5, tokens: 70 }];
     assert_eq!(known, [(2001, &spent[..], true)]);
@@ -197,18 +197,18 @@
     let (mut from, mut to) = (table(), Table::open(peer(2, 0)));
     for number in 0..40 {
         let id = format!("r{number}");
-        from.sight(0, sighting(&id, 0, 1), false);
+        from.apply_sighting(0, sighting(&id, 0, 1), false);
         // One half is known at the receiver, the other half arrives there
         // later.
         if number % 2 == 0 {
-            to.sight(0, sighting(&id, 0, 1), false);
+            to.apply_sighting(0, sighting(&id, 0, 1), false);
         }
-        from.sight(5, sighting(&id, 1, 2), true);
+        from.apply_sighting(5, sighting(&id, 1, 2), true);
     }
-    let news = to.hear(6, 0, from.compose(6, 0, Own::default()));
+    let news = to.receive(6, 0, from.compose(6, 0, Own::default()));
     assert!(news.replicas);
     for number in 0..40 {
-        to.sight(7, sighting(&format!("r{number}"), 0, 1), false);
+        to.apply_sighting(7, sighting(&format!("r{number}"), 0, 1), false);
     }
     let ready =
         to.replicas().iter().filter(|replica| replica.state == State::Ready);
@@ -221,13 +221,13 @@
 fn all_replicas_reach_another_node_in_time() {
     let mut from = table();
     for number in 0..60 {
-        from.sight(0, sighting(&format!("r{number}"), 0, 1), false);
+        from.apply_sighting(0, sighting(&format!("r{number}"), 0, 1), false);
     }
     let mut to = Table::open(peer(2, 0));
     for round in 0..20 {
         let gossip = from.compose(round, 0, Own::default());
         assert!(gossip.replicas.len() <= 15, "too long for a datagram");
-        to.hear(round, 0, gossip);
+        to.receive(round, 0, gossip);
     }
     assert_eq!(to.replicas().len(), 60);
 }
@@ -250,7 +250,7 @@
             if (round + beat) % 4 == 0 {
                 let at = (beat * 31 + round * 17) as usize % tables.len();
                 let heartbeat = sighting(&format!("i-{beat}"), 0, round + 1);
-                tables[at].sight(now, heartbeat, true);
+                tables[at].apply_sighting(now, heartbeat, true);
             }
         }
         for from in 0..tables.len() {
@@ -258,7 +258,7 @@
                 tables[from].compose(now, now as i64, Own::default());
             for step in 0..16 {
                 let to = (from + 1 + (round as usize * 16 + step) % 69) % 70;
-                tables[to].hear(now, now as i64, datagram.clone());
+                tables[to].receive(now, now as i64, datagram.clone());
             }
         }
         if round > 20 {
@@ -282,12 +282,12 @@
         (1..=NODES as u32).map(|ip| Table::open(peer(ip, 0))).collect();
     for table in &mut tables {
         for at in 0..150 {
-            table.sight(0, sighting(&format!("i-{at}"), 0, 1), false);
+            table.apply_sighting(0, sighting(&format!("i-{at}"), 0, 1), false);
         }
     }
     for at in 0..150 {
         let leaves = sighting(&format!("i-{at}"), 1, 2);
-        tables[at % NODES].sight(1000, leaves, true);
+        tables[at % NODES].apply_sighting(1000, leaves, true);
     }
     for round in 0..7_u64 {
         for from in 0..NODES {
@@ -298,7 +298,7 @@
             for step in 0..16 {
                 let turn = (round as usize * 16 + step) % (NODES - 1);
                 let to = (from + 1 + turn) % NODES;
-                tables[to].hear(now, now as i64, datagram.clone());
+                tables[to].receive(now, now as i64, datagram.clone());
             }
         }
     }
@@ -324,13 +324,13 @@
 #[test]
 fn a_replica_that_restarts_under_its_id_is_used() {
     let mut table = table();
-    table.sight(0, heartbeat("a", 1000, 0, 50), true);
-    table.sight(1, heartbeat("a", 1000, 1, 51), true);
-    assert!(table.sight(5, heartbeat("a", 2000, 0, 1), true));
+    table.apply_sighting(0, heartbeat("a", 1000, 0, 50), true);
+    table.apply_sighting(1, heartbeat("a", 1000, 1, 51), true);
+    assert!(table.apply_sighting(5, heartbeat("a", 2000, 0, 1), true));
     assert_eq!(usable(&table, 5), ["a@2000"]);
     // Late heartbeats of the former incarnation, received directly and through
     // another node.
-    table.sight(6, heartbeat("a", 1000, 1, 52), true);
+    table.apply_sighting(6, heartbeat("a", 1000, 1, 52), true);
     let late = Gossip {
         replicas: vec![
             heartbeat("a", 1000, 0, 49),
@@ -339,7 +339,7 @@
         left: vec![replica_hash("a@1000")],
         ..gossip(2, 1)
     };
-    table.hear(7, 0, late);
+    table.receive(7, 0, late);
     assert_eq!(usable(&table, 7), ["a@2000"]);
 }
 
@@ -349,15 +349,15 @@
 #[test]
 fn an_incarnation_ends_when_the_next_one_starts() {
     let mut table = table();
-    table.sight(0, heartbeat("a", 1000, 0, 50), true);
-    table.sight(0, heartbeat("b", 1000, 0, 50), true);
-    table.sight(100, heartbeat("a", 2000, 0, 1), false);
+    table.apply_sighting(0, heartbeat("a", 1000, 0, 50), true);
+    table.apply_sighting(0, heartbeat("b", 1000, 0, 50), true);
+    table.apply_sighting(100, heartbeat("a", 2000, 0, 1), false);
     assert_eq!(usable(&table, 100), ["a@2000", "b@1000"]);
     assert_eq!(state(&table, "a@1000"), Some(State::Departed));
     // A remembered incarnation does not bring it back either.
     let remembered =
         Sighting { remembered: true, ..heartbeat("a", 500, 0, 9) };
-    table.sight(101, remembered, false);
+    table.apply_sighting(101, remembered, false);
     assert_eq!(usable(&table, 101), ["a@2000", "b@1000"]);
 }
 
@@ -367,15 +367,15 @@
 #[test]
 fn a_clock_that_jumped_back_excludes_no_replica() {
     let mut table = table();
-    table.sight(0, heartbeat("a", 5000, 0, 50), true);
-    table.sight(1000, heartbeat("a", 4000, 0, 1), true);
+    table.apply_sighting(0, heartbeat("a", 5000, 0, 50), true);
+    table.apply_sighting(1000, heartbeat("a", 4000, 0, 1), true);
     assert_eq!(usable(&table, 1000), ["a@5000"], "may be a late heartbeat");
-    table.sight(11_000, heartbeat("a", 4000, 0, 9), true);
+    table.apply_sighting(11_000, heartbeat("a", 4000, 0, 9), true);
     assert_eq!(usable(&table, 11_000), ["a@4000"]);
     // A node that has not noticed yet does not end it.
     let late =
         Gossip { replicas: vec![heartbeat("a", 5000, 0, 50)], ..gossip(2, 1) };
-    table.hear(11_001, 0, late);
+    table.receive(11_001, 0, late);
     assert_eq!(usable(&table, 11_001), ["a@4000"]);
 }
 
@@ -385,15 +385,15 @@
 fn a_departure_without_a_start_time_ends_the_current_incarnation() {
     let departure = Sighting { service: String::new(), ..sighting("a", 2, 0) };
     let (mut first, mut second) = (table(), Table::open(peer(2, 0)));
-    first.sight(0, heartbeat("a", 1000, 0, 5), true);
-    second.sight(0, heartbeat("a", 1000, 0, 5), true);
-    first.sight(10, departure.clone(), true);
+    first.apply_sighting(0, heartbeat("a", 1000, 0, 5), true);
+    second.apply_sighting(0, heartbeat("a", 1000, 0, 5), true);
+    first.apply_sighting(10, departure.clone(), true);
     assert!(usable(&first, 10).is_empty());
     let datagram = Gossip { left: vec![replica_hash("a")], ..gossip(1, 1) };
-    second.hear(11, 0, datagram);
+    second.receive(11, 0, datagram);
     assert_eq!(state(&second, "a@1000"), Some(State::Leaving));
     // The notice does not apply to its next incarnation.
-    first.sight(5000, heartbeat("a", 4000, 0, 1), true);
+    first.apply_sighting(5000, heartbeat("a", 4000, 0, 1), true);
     assert_eq!(usable(&first, 5000), ["a@4000"]);
 }
 
@@ -414,14 +414,14 @@
 #[test]
 fn a_late_heartbeat_after_a_long_silence_costs_seconds_only() {
     let mut table = table();
-    table.sight(1000, heartbeat("a", 5000, 0, 1), true);
-    table.sight(12_000, heartbeat("a", 4000, 0, 51), true);
-    table.sight(23_000, heartbeat("a", 5000, 0, 9), true);
+    table.apply_sighting(1000, heartbeat("a", 5000, 0, 1), true);
+    table.apply_sighting(12_000, heartbeat("a", 4000, 0, 51), true);
+    table.apply_sighting(23_000, heartbeat("a", 5000, 0, 9), true);
     assert_eq!(usable(&table, 23_000), ["a@5000"]);
     // A heartbeat that is old when it is relayed proves nothing either way.
     let relayed = Sighting { age_ms: 22_000, ..heartbeat("a", 4000, 0, 50) };
     let late = Gossip { replicas: vec![relayed], ..gossip(2, 1) };
-    table.hear(35_000, 0, late);
+    table.receive(35_000, 0, late);
     assert_eq!(usable(&table, 35_000), ["a@5000"]);
 }
 
@@ -433,13 +433,13 @@
         (1..=5).map(|ip| Table::open(peer(ip, 1))).collect();
     for table in &mut tables {
         for ip in 1..=5 {
-            table.hear(10, 0, gossip(ip, 1));
+            table.receive(10, 0, gossip(ip, 1));
         }
     }
     for subject in 0..20 {
         let mut ranks: Vec<usize> = tables
             .iter()
-            .map(|table| table.place(20, subject).unwrap())
+            .map(|table| table.active_rank(20, subject).unwrap())
             .map(|(rank, nodes)| {
                 assert_eq!(nodes, 5);
                 rank
@@ -448,8 +448,8 @@
         ranks.sort_unstable();
         assert_eq!(ranks, [0, 1, 2, 3, 4], "subject {subject}");
     }
-    tables[0].me().serving = false;
-    assert_eq!(tables[0].place(20, 1), None);
+    tables[0].own_peer_mut().serving = false;
+    assert_eq!(tables[0].active_rank(20, 1), None);
 }
 
 /// Returns a report of a request in flight at two replicas that crashed.
@@ -468,7 +468,7 @@
 {
     let mut table = table();
     for ip in 2..42 {
-        table.hear(10, 0, gossip(ip, 1));
+        table.receive(10, 0, gossip(ip, 1));
     }
     let round = Round { now: 20, wall_ms: 0, number: 1, is_urgent: true };
     let datagrams = table.round(round, crash_report(), &[]);
--- a/tests/all/mesh_scale.rs
+++ b/tests/all/mesh_scale.rs
@@ -125,7 +125,7 @@
             let hello = gossip.hello;
             let (now, wall_ms) = (self.now, self.now as i64);
             let asker = gossip.from.clone().unwrap_or_default();
-            self.vms[to].table.hear(now, wall_ms, gossip);
+            self.vms[to].table.receive(now, wall_ms, gossip);
             if hello {
                 let own = self.own(to);
                 let answer =
@@ -143,7 +143,9 @@
                 let at = self.rng.random_range(0..self.vms.len());
                 let sighting = self.sighting(replica, 0);
                 if !self.vms[at].is_down {
-                    self.vms[at].table.sight(self.now, sighting, true);
+                    self.vms[at]
+                        .table
+                        .apply_sighting(self.now, sighting, true);
                 }
             }
         }
@@ -280,7 +282,7 @@
         let (mut pairs, mut missed) = (0, 0);
         for (at, vm) in self.vms.iter().enumerate() {
             let near = data_centre(at);
-            let handed_out = vm.table.handed_out(self.now, Some(&near));
+            let handed_out = vm.table.caller_addresses(self.now, Some(&near));
             let same =
                 actives.iter().filter(|&&active| data_centre(active) == near);
             for &active in same.filter(|&&active| active != at) {
@@ -397,7 +399,7 @@
             let now = fleet.now;
             let mut parts = Vec::new();
             for at in fleet.actives() {
-                let (entries, unheard) = fleet.vms[at].table.reach(now);
+                let (entries, unheard) = fleet.vms[at].table.entry_counts(now);
                 parts.push(unheard * 1000 / entries);
             }
             let mean = parts.iter().sum::<usize>() / parts.len();
@@ -420,7 +422,7 @@
         for &replica in &leaving {
             let at = fleet.rng.random_range(0..nodes);
             let sighting = fleet.sighting(replica, 1);
-            fleet.vms[at].table.sight(fleet.now, sighting, true);
+            fleet.vms[at].table.apply_sighting(fleet.now, sighting, true);
             fleet.run_round(at, true);
         }
         fleet.run(SETTLED_AT_MS + 2000);
@@ -454,7 +456,7 @@
         fleet.run(SETTLED_AT_MS + 4000);
         for (at, vm) in fleet.vms.iter().enumerate() {
             let near = data_centre(at);
-            let handed_out = vm.table.handed_out(fleet.now, Some(&near));
+            let handed_out = vm.table.caller_addresses(fleet.now, Some(&near));
             if vm.is_down {
                 continue;
             }
