--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -16,7 +16,7 @@
 use azuremount::{
     decide::{retry::Bound, route::RouteRequest},
     gateway::fleet::Fleet,
-    mesh::table::{Own, Table, replica_hash},
+    mesh::table::{LocalReport, Table, replica_hash},
     wire::{Beat, Cached, Gossip, Peer, Sighting},
 };
 
@@ -118,7 +118,7 @@
             black_box(fleet.pick(20 + turn, "llm", &request));
         });
         let round = time(|turn| {
-            black_box(table.compose(20, turn as i64, Own::default()));
+            black_box(table.compose(20, turn as i64, LocalReport::default()));
         });
         println!(
             "{replicas:8} | {beats:5.1} | {sight:8.1} | {caches:6.1} | \
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -71,7 +71,7 @@
         quarantine::Quarantine, quota::Tolerance, rate_limit::RateLimits,
         retry::Bound,
     },
-    mesh::{self, table::Own},
+    mesh::{self, table::LocalReport},
     metrics::Metrics,
     timer::Timer,
     util::{common, wall_ms},
@@ -289,13 +289,13 @@
     }
 
     /// Returns the report on this node's requests for the other nodes.
-    pub fn local_report(&self) -> Own {
+    pub fn local_report(&self) -> LocalReport {
         let spent = self.spent();
         let suspects = self.crash_reports();
         let limits = self.next_rate_limit_reports();
         let mut fleet = self.fleet();
         let cached = fleet.next_cached_reports(self.timer.now());
-        Own {
+        LocalReport {
             under: fleet.in_flight(),
             spent,
             work: fleet.work(),
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -69,7 +69,7 @@
         if self.record_statement(statement, Source::Answer) {
             self.update_rate_limit_shares();
             if let Some(mesh) = self.mesh.get() {
-                mesh.urge();
+                mesh.request_urgent_round();
             }
         }
     }
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -90,7 +90,7 @@
         if crashes >= MIN_URGENT_CRASHES {
             self.suspects_changed.notify_one();
             if let Some(mesh) = self.mesh.get() {
-                mesh.urge();
+                mesh.request_urgent_round();
             }
         }
     }
--- a/src/mesh/datagram.rs
+++ b/src/mesh/datagram.rs
@@ -4,7 +4,9 @@
     FANOUT,
     replica::State,
     role::Role,
-    table::{NODE_RETENTION_MS, NODE_TIMEOUT_MS, News, Node, Own, Table},
+    table::{
+        Changes, LocalReport, NODE_RETENTION_MS, NODE_TIMEOUT_MS, Node, Table,
+    },
 };
 use crate::{
     util::{common, position},
@@ -70,11 +72,16 @@
 
 impl Table {
     /// Applies a received datagram. `wall_ms` is this node's wall-clock time.
-    pub fn receive(&mut self, now: u64, wall_ms: i64, gossip: Gossip) -> News {
-        let mut news = News::default();
-        let Some(from) = gossip.from else { return news };
+    pub fn receive(
+        &mut self,
+        now: u64,
+        wall_ms: i64,
+        gossip: Gossip,
+    ) -> Changes {
+        let mut changes = Changes::default();
+        let Some(from) = gossip.from else { return changes };
         if from.ip == self.me.ip {
-            return news;
+            return changes;
         }
         let (ip, incarnation) = (from.ip, from.incarnation);
         // A standby node sends the heartbeats that it receives from replicas
@@ -83,9 +90,9 @@
         let relays = self.is_member()
             && !from.has_disk
             && Role::of(&from) == Role::Standby;
-        news.nodes |= self.apply_peer(now, from, true);
+        changes.nodes |= self.apply_peer(now, from, true);
         for peer in gossip.peers {
-            news.nodes |= self.apply_peer(now, peer, false);
+            changes.nodes |= self.apply_peer(now, peer, false);
         }
         if let Ok(at) = position(&self.nodes, &ip, |node| &node.peer.ip) {
             let node = &mut self.nodes[at];
@@ -106,8 +113,8 @@
         for sighting in gossip.replicas {
             let leaves = State::from_u32(sighting.state) != State::Ready;
             let changed = self.apply_sighting(now, sighting, relays);
-            news.replicas |= changed;
-            news.leaves |= changed && leaves;
+            changes.replicas |= changed;
+            changes.departures |= changed && leaves;
         }
         for beat in gossip.beats {
             self.apply_beat(now, &beat, relays);
@@ -115,13 +122,13 @@
         self.counts.merge(Began { node: incarnation, windows: gossip.usage });
         for hash in gossip.left {
             let changed = self.apply_departure(now, hash);
-            news.replicas |= changed;
-            news.leaves |= changed;
+            changes.replicas |= changed;
+            changes.departures |= changed;
         }
         for relayed in gossip.relayed {
             self.counts.merge(relayed);
         }
-        news
+        changes
     }
 
     fn apply_beat(&mut self, now: u64, beat: &Beat, relays: bool) {
@@ -181,7 +188,12 @@
     }
 
     /// Returns the next datagram to members, with this node's load.
-    pub fn compose(&mut self, now: u64, wall_ms: i64, own: Own) -> Gossip {
+    pub fn compose(
+        &mut self,
+        now: u64,
+        wall_ms: i64,
+        own: LocalReport,
+    ) -> Gossip {
         let (replicas, beats) = self.next_replicas(now);
         let gossip = self.base_gossip(now, wall_ms, replicas, beats);
         let peers = self.next_peers(now, PEERS_PER_DATAGRAM);
@@ -211,7 +223,7 @@
         &mut self,
         now: u64,
         wall_ms: i64,
-        own: Own,
+        own: LocalReport,
         asker: &Peer,
     ) -> Gossip {
         let replicas = self.next_repeated(now);
@@ -253,7 +265,12 @@
         }
     }
 
-    fn with_load(&mut self, now: u64, gossip: Gossip, own: Own) -> Gossip {
+    fn with_load(
+        &mut self,
+        now: u64,
+        gossip: Gossip,
+        own: LocalReport,
+    ) -> Gossip {
         self.own_work.clone_from(&own.work);
         self.load_reports_sent += 1;
         Gossip {
--- a/src/mesh/mod.rs
+++ b/src/mesh/mod.rs
@@ -47,7 +47,7 @@
 use self::{
     role::Role,
     round::{Datagram, Round},
-    table::{News, Own, Table},
+    table::{Changes, LocalReport, Table},
 };
 use crate::{
     timer::Timer,
@@ -105,26 +105,26 @@
 /// Supplies the mesh with the node's report, and receives updates from it.
 pub trait Host: Send + Sync + 'static {
     /// Returns what the next datagram contains besides the table.
-    fn own(&self) -> Own;
+    fn local_report(&self) -> LocalReport;
     /// Called when another node reports parts of prompts that it has sent to
     /// replicas.
-    fn cached(&self, cached: Vec<Cached>);
+    fn on_cached(&self, cached: Vec<Cached>);
     /// Called with requests that were in flight at replicas that crashed, and
     /// with requests that succeeded after such crashes. `passes_on` is true if
     /// the reporting node sends them to no other node.
-    fn suspects(
+    fn on_crashes(
         &self,
         crashes: &[Crash],
         successes: &[Success],
         passes_on: bool,
     );
     /// Called with requests that were in flight at suspected crashes.
-    /// `passes_on` is as for [`Host::suspects`].
-    fn suspected(&self, crashes: &[Crash], passes_on: bool);
+    /// `passes_on` is as for [`Host::on_crashes`].
+    fn on_suspected_crashes(&self, crashes: &[Crash], passes_on: bool);
     /// Called with the rate limits of replicas that another node reports.
-    fn limits(&self, limits: &[RateLimit]);
+    fn on_rate_limits(&self, limits: &[RateLimit]);
     /// Called after a change, and in each regular round.
-    fn news(self: Arc<Self>, news: News);
+    fn on_changes(self: Arc<Self>, changes: Changes);
 }
 
 /// Handle to a running mesh. Clones share it.
@@ -192,7 +192,7 @@
     }
 
     /// Starts an urgent round.
-    pub fn urge(&self) {
+    pub fn request_urgent_round(&self) {
         self.shared.urgent.notify_one();
     }
 
@@ -203,7 +203,7 @@
             .seeds
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner()) = seeds;
-        self.urge();
+        self.request_urgent_round();
     }
 
     /// Stops sending and receiving.
@@ -220,12 +220,12 @@
     }
 
     /// Drops expired entries and updates the role of this node.
-    fn update_role(&self, begun: u64) -> News {
+    fn update_role(&self, begun: u64) -> Changes {
         let now = self.timer.now();
         let mut table = self.table();
         table.expire(now);
         let Some(before) = table.update_role(now, begun) else {
-            return News::default();
+            return Changes::default();
         };
         let role = Role::of(table.own_peer());
         let rate = table.own_peer().rate;
@@ -237,8 +237,8 @@
             "Role changed."
         );
         self.urgent.notify_one();
-        let steps_in = role == Role::Active && before == Role::Standby;
-        News { steps_in, ..News::default() }
+        let became_active = role == Role::Active && before == Role::Standby;
+        Changes { became_active, ..Changes::default() }
     }
 
     fn seeds(&self) -> Vec<Ipv4Addr> {
@@ -276,29 +276,33 @@
         let asker = gossip.from.clone().filter(|_| gossip.hello);
         let cached = std::mem::take(&mut gossip.cached);
         if !cached.is_empty() {
-            host.cached(cached);
+            host.on_cached(cached);
         }
         let from_node = gossip.from.as_ref();
         let is_from_standby =
             from_node.is_some_and(|node| !Role::is_member(node));
         if !gossip.suspected.is_empty() {
-            host.suspected(&gossip.suspected, is_from_standby);
+            host.on_suspected_crashes(&gossip.suspected, is_from_standby);
         }
         if !gossip.crashes.is_empty() || !gossip.successes.is_empty() {
-            host.suspects(&gossip.crashes, &gossip.successes, is_from_standby);
+            host.on_crashes(
+                &gossip.crashes,
+                &gossip.successes,
+                is_from_standby,
+            );
         }
         if !gossip.limits.is_empty() {
-            host.limits(&gossip.limits);
+            host.on_rate_limits(&gossip.limits);
         }
         let now = shared.timer.now();
-        let news = shared.table().receive(now, wall_ms() as i64, gossip);
-        if news != News::default() {
-            host.clone().news(news);
+        let changes = shared.table().receive(now, wall_ms() as i64, gossip);
+        if changes != Changes::default() {
+            host.clone().on_changes(changes);
         }
         if let (Some(asker), SocketAddr::V4(from)) = (asker, from) {
             // Called before the table is locked, because the host takes other
             // locks.
-            let own = host.own();
+            let own = host.local_report();
             let wall_ms = wall_ms() as i64;
             let answer = shared.table().answer(now, wall_ms, own, &asker);
             shared.send(&answer.encode_to_vec(), *from.ip()).await;
@@ -320,11 +324,11 @@
         };
         // Called before the table is locked, because the host takes other
         // locks.
-        let own = host.own();
+        let own = host.local_report();
         if is_regular {
             round += 1;
-            let news = shared.update_role(own.begun);
-            host.clone().news(news);
+            let changes = shared.update_role(own.begun);
+            host.clone().on_changes(changes);
         }
         let round = Round {
             now: shared.timer.now(),
--- a/src/mesh/round.rs
+++ b/src/mesh/round.rs
@@ -8,7 +8,7 @@
     FANOUT, GREETING_INTERVAL_ROUNDS, LOAD_FANOUT,
     datagram::Scope,
     role::{MAX_ADDRESSES, Role},
-    table::{Node, Own, Table},
+    table::{LocalReport, Node, Table},
 };
 use crate::{
     util::mix,
@@ -68,7 +68,7 @@
     pub fn round(
         &mut self,
         round: Round,
-        own: Own,
+        own: LocalReport,
         seeds: &[Ipv4Addr],
     ) -> Vec<Datagram> {
         let mut datagrams = match (self.is_member(), round.is_urgent) {
@@ -90,7 +90,11 @@
     /// The latter takes a tenth of the bytes and contains what routing depends
     /// on: with reports that are 0.5 s old instead of 0.15 s, forty nodes send
     /// requests to the same idle replicas.
-    fn member_round(&mut self, round: Round, own: Own) -> Vec<Datagram> {
+    fn member_round(
+        &mut self,
+        round: Round,
+        own: LocalReport,
+    ) -> Vec<Datagram> {
         let gossip = self.compose(round.now, round.wall_ms, own);
         let mut to = ips(self.members(round.now));
         let mut rest = Vec::new();
@@ -144,7 +148,7 @@
     fn urgent_member_round(
         &mut self,
         round: Round,
-        own: Own,
+        own: LocalReport,
     ) -> Vec<Datagram> {
         let to = ips(self.members(round.now));
         if to.len() <= FANOUT {
@@ -167,7 +171,11 @@
 
     /// Asks one node every second round, in this node's data centre if
     /// possible.
-    fn standby_round(&mut self, round: Round, own: Own) -> Vec<Datagram> {
+    fn standby_round(
+        &mut self,
+        round: Round,
+        own: LocalReport,
+    ) -> Vec<Datagram> {
         let me = u64::from(self.own_peer().ip);
         if !(round.number + me).is_multiple_of(STANDBY_QUERY_INTERVAL_ROUNDS) {
             return Vec::new();
--- a/src/mesh/table.rs
+++ b/src/mesh/table.rs
@@ -108,7 +108,7 @@
 
 /// What the node adds to its datagrams from outside the table.
 #[derive(Clone, Debug, Default)]
-pub struct Own {
+pub struct LocalReport {
     /// Requests in flight, by replica.
     pub under: Vec<Under>,
     /// Tokens admitted since the start, by team.
@@ -131,15 +131,15 @@
 
 /// What has changed through a datagram or a new role.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct News {
+pub struct Changes {
     /// A replica appeared, or changed its state.
     pub replicas: bool,
     /// One of these replicas takes no more requests.
-    pub leaves: bool,
+    pub departures: bool,
     /// A node appeared or restarted.
     pub nodes: bool,
     /// This node was on standby and has become active.
-    pub steps_in: bool,
+    pub became_active: bool,
 }
 
 impl Table {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -57,7 +57,7 @@
     },
     mesh::{
         self,
-        table::{News, Own},
+        table::{Changes, LocalReport},
     },
     timer::Timer,
     util::random_id,
@@ -351,7 +351,7 @@
             // Refreshed before the replica has its answer: from then on it
             // counts on getting no new work if it said that it leaves.
             node.gateway.refresh();
-            mesh.urge();
+            mesh.request_urgent_round();
         }
     }
 
@@ -443,7 +443,7 @@
             table.own_peer_mut().serving = ready;
             table.own_peer_mut().plan_version = version;
             drop(table);
-            mesh.urge();
+            mesh.request_urgent_round();
         }
     }
 
@@ -486,15 +486,15 @@
 }
 
 impl mesh::Host for Node {
-    fn own(&self) -> Own {
+    fn local_report(&self) -> LocalReport {
         self.gateway.local_report()
     }
 
-    fn cached(&self, cached: Vec<Cached>) {
+    fn on_cached(&self, cached: Vec<Cached>) {
         self.gateway.record_cached_reports(&cached);
     }
 
-    fn suspects(
+    fn on_crashes(
         &self,
         crashes: &[Crash],
         successes: &[Success],
@@ -503,24 +503,24 @@
         self.gateway.receive_crash_reports(crashes, successes, passes_on);
     }
 
-    fn suspected(&self, crashes: &[Crash], passes_on: bool) {
+    fn on_suspected_crashes(&self, crashes: &[Crash], passes_on: bool) {
         self.gateway.receive_suspected_crashes(crashes, passes_on);
     }
 
-    fn limits(&self, limits: &[RateLimit]) {
+    fn on_rate_limits(&self, limits: &[RateLimit]) {
         self.gateway.receive_rate_limits(limits);
     }
 
-    fn news(self: Arc<Self>, news: News) {
+    fn on_changes(self: Arc<Self>, changes: Changes) {
         // Who leaves must get nothing more from now on. Replicas that appear
         // can wait a moment for others: a thousand of them may start at once.
-        let appears = news.replicas || news.nodes;
-        match appears && !news.leaves {
+        let appears = changes.replicas || changes.nodes;
+        match appears && !changes.departures {
             true => self.gateway.refresh_soon(),
             false => self.gateway.refresh(),
         }
         self.follow_mesh();
-        if news.steps_in {
+        if changes.became_active {
             // It was told little while it stood by.
             self.gateway.settle_quota_use();
             tokio::spawn(recall::learn(self, None));
--- a/tests/all/mesh.rs
+++ b/tests/all/mesh.rs
@@ -4,7 +4,10 @@
 use azuremount::{
     mesh::{
         round::Round,
-        table::{Own, State, Table, incarnation_id, replica_hash, replica_of},
+        table::{
+            LocalReport, State, Table, incarnation_id, replica_hash,
+            replica_of,
+        },
     },
     wire::{
         Crash, Gossip, Peer, RecordUsage, Sighting, Spent, TeamCount, Under,
@@ -154,13 +157,17 @@
     let mut witness = table();
     witness.receive(0, 0, Gossip { usage, ..gossip(2, 1) });
     let mut leader = Table::open(peer(3, 0));
-    leader.receive(1, 0, witness.compose(1, 0, Own::default()));
+    leader.receive(1, 0, witness.compose(1, 0, LocalReport::default()));
     assert!(
         leader.usage(7).counts.is_empty(),
         "the node may still report itself"
     );
     let later = 5000;
-    leader.receive(later, 0, witness.compose(later, 0, Own::default()));
+    leader.receive(
+        later,
+        0,
+        witness.compose(later, 0, LocalReport::default()),
+    );
     assert_eq!(leader.usage(7).counts[0].count, 5);
 }
 
@@ -205,8 +212,8 @@
         }
         from.apply_sighting(5, sighting(&id, 1, 2), true);
     }
-    let news = to.receive(6, 0, from.compose(6, 0, Own::default()));
-    assert!(news.replicas);
+    let changes = to.receive(6, 0, from.compose(6, 0, LocalReport::default()));
+    assert!(changes.replicas);
     for number in 0..40 {
         to.apply_sighting(7, sighting(&format!("r{number}"), 0, 1), false);
     }
@@ -225,7 +232,7 @@
     }
     let mut to = Table::open(peer(2, 0));
     for round in 0..20 {
-        let gossip = from.compose(round, 0, Own::default());
+        let gossip = from.compose(round, 0, LocalReport::default());
         assert!(gossip.replicas.len() <= 15, "too long for a datagram");
         to.receive(round, 0, gossip);
     }
@@ -255,7 +262,7 @@
         }
         for from in 0..tables.len() {
             let datagram =
-                tables[from].compose(now, now as i64, Own::default());
+                tables[from].compose(now, now as i64, LocalReport::default());
             for step in 0..16 {
                 let to = (from + 1 + (round as usize * 16 + step) % 69) % 70;
                 tables[to].receive(now, now as i64, datagram.clone());
@@ -294,7 +301,7 @@
             // Nodes send one after the other, not all at the same moment.
             let now = 1000 + round * 300 + from as u64 * 4;
             let datagram =
-                tables[from].compose(now, now as i64, Own::default());
+                tables[from].compose(now, now as i64, LocalReport::default());
             for step in 0..16 {
                 let turn = (round as usize * 16 + step) % (NODES - 1);
                 let to = (from + 1 + turn) % NODES;
@@ -453,9 +460,9 @@
 }
 
 /// Returns a report of a request in flight at two replicas that crashed.
-fn crash_report() -> Own {
+fn crash_report() -> LocalReport {
     let crash = |replica| Crash { fingerprint: 7, replica, age_ms: 30 };
-    Own { crashes: vec![crash(1), crash(2)], ..Own::default() }
+    LocalReport { crashes: vec![crash(1), crash(2)], ..LocalReport::default() }
 }
 
 /// Guards against a request that crashes six more replicas on a deployment of
--- a/tests/all/mesh_scale.rs
+++ b/tests/all/mesh_scale.rs
@@ -14,7 +14,7 @@
 use azuremount::{
     mesh::{
         round::{Datagram, Round},
-        table::{Own, State, Table},
+        table::{LocalReport, State, Table},
     },
     wire::{Cached, Gossip, Peer, Sighting, Spent, Under, Work},
 };
@@ -166,7 +166,7 @@
     }
 
     /// Returns what a node would report of its callers' requests.
-    fn own(&mut self, at: usize) -> Own {
+    fn own(&mut self, at: usize) -> LocalReport {
         let active = self.actives();
         let rate = match active.binary_search(&at) {
             Ok(_) => REQUESTS_PER_S / active.len() as u64,
@@ -180,7 +180,7 @@
         let begun = vm.begun / 1000;
         let at = at as u64;
         if begun == 0 {
-            return Own::default();
+            return LocalReport::default();
         }
         let under = (0..rate).map(|number| Under {
             replica: (at * 31 + number * 7 + begun) % self.replicas,
@@ -200,13 +200,13 @@
             let team = format!("team{team:04}");
             vm.table.count_began(self.now / 5000, &team);
         }
-        Own {
+        LocalReport {
             under: under.collect(),
             spent: spent.collect(),
             work: vec![Work { service: 5, ms: begun * 90 }],
             cached: cached.collect(),
             begun,
-            ..Own::default()
+            ..LocalReport::default()
         }
     }
 
