--- a/src/duty/scale.rs
+++ b/src/duty/scale.rs
@@ -9,7 +9,7 @@
     },
     gateway::plan::{Plan, Scaling, Service},
     mesh::{
-        mean_lag_ms,
+        mean_propagation_delay_ms,
         table::{Replica, State, Table},
     },
     util::{common, name_hash},
@@ -192,7 +192,7 @@
 /// Active nodes know of each other sooner, and few replicas would do for that
 /// once all are warm. But a start with cold caches needs more.
 fn sizing_lag_ms(table: &Table) -> f32 {
-    mean_lag_ms(table.serving_count()) as f32
+    mean_propagation_delay_ms(table.serving_count()) as f32
 }
 
 /// The replicas of a service that take requests.
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -23,7 +23,7 @@
         },
     },
     mesh::{
-        load_lag_ms,
+        load_propagation_delay_ms,
         table::{self, State, Table},
     },
     util::{common, name_hash, position, random_id},
@@ -556,7 +556,8 @@
             self.pool.set_replicas(near, &identities);
             self.set_places(replicas.clone(), memory);
         }
-        let lag_ms = load_lag_ms(table.entry_counts(now).0) as u64;
+        let lag_ms =
+            load_propagation_delay_ms(table.entry_counts(now).0) as u64;
         let loads = table.loads(now);
         for (at, replica) in replicas.enumerate() {
             // The requests that other nodes have sent to a new replica are not
--- a/src/gateway/quotas.rs
+++ b/src/gateway/quotas.rs
@@ -245,7 +245,7 @@
             rate: quota.rate as f64,
             burst: quota.burst.max(1) as f64,
             heard: 1.0 - unheard as f64 / entries as f64,
-            propagation_delay_ms: mesh::mean_lag_ms(entries),
+            propagation_delay_ms: mesh::mean_propagation_delay_ms(entries),
             nodes: entries,
             tolerance: self
                 .tolerance
--- a/src/mesh/mod.rs
+++ b/src/mesh/mod.rs
@@ -77,12 +77,12 @@
 
 /// Returns the mean propagation delay of reports between this number of nodes,
 /// in ms, for everything but requests in flight.
-pub fn mean_lag_ms(nodes: usize) -> f64 {
+pub fn mean_propagation_delay_ms(nodes: usize) -> f64 {
     propagation_delay_ms(nodes, FANOUT)
 }
 
 /// Returns the mean propagation delay of requests in flight, in ms.
-pub fn load_lag_ms(nodes: usize) -> f64 {
+pub fn load_propagation_delay_ms(nodes: usize) -> f64 {
     propagation_delay_ms(nodes, LOAD_FANOUT)
 }
 
--- a/src/mesh/table.rs
+++ b/src/mesh/table.rs
@@ -15,7 +15,7 @@
 
 use super::{
     counts::Counts,
-    mean_lag_ms,
+    mean_propagation_delay_ms,
     role::{DRAIN_DURATION_MS, Rate, Role, Selector, View},
 };
 pub use super::{
@@ -420,7 +420,8 @@
     /// unheard, in ms. Where nodes take turns, a node is heard directly only
     /// once in several rounds.
     fn unheard_timeout_ms(&self, now: u64) -> u64 {
-        let turn_ms = 2.0 * mean_lag_ms(self.members(now).count() + 1);
+        let turn_ms =
+            2.0 * mean_propagation_delay_ms(self.members(now).count() + 1);
         NODE_TIMEOUT_MS.max((turn_ms * UNHEARD_TIMEOUT_TURNS) as u64)
     }
 
