--- a/src/gateway/quotas.rs
+++ b/src/gateway/quotas.rs
@@ -118,7 +118,7 @@
     ) {
         self.detect_stall(now);
         let mut quotas = self.quotas();
-        let reach = table.reach(now);
+        let reach = table.entry_counts(now);
         let joins = self.is_joining(now);
         for team in plan.map_or(&[][..], Plan::teams) {
             if let Some(quota) = team.quota {
@@ -233,7 +233,7 @@
     fn reach(&self) -> (usize, usize) {
         let now = self.timer.now();
         let mesh = self.mesh.get();
-        mesh.map_or((1, 0), |mesh| mesh.table().reach(now))
+        mesh.map_or((1, 0), |mesh| mesh.table().entry_counts(now))
     }
 
     fn allowance(
@@ -245,7 +245,7 @@
             rate: quota.rate as f64,
             burst: quota.burst.max(1) as f64,
             heard: 1.0 - unheard as f64 / entries as f64,
-            propagation_delay_ms: mesh::mean_lag_ms(entries),
+            propagation_delay_ms: mesh::mean_propagation_delay_ms(entries),
             nodes: entries,
             tolerance: self
                 .tolerance
--- a/src/gateway/rate_limits.rs
+++ b/src/gateway/rate_limits.rs
@@ -69,7 +69,7 @@
         if self.record_statement(statement, Source::Answer) {
             self.update_rate_limit_shares();
             if let Some(mesh) = self.mesh.get() {
-                mesh.urge();
+                mesh.request_urgent_round();
             }
         }
     }
@@ -120,7 +120,7 @@
         let parts: Vec<Allocation> = limits
             .limited()
             .map(|(replica, limit)| {
-                let position = table.place(now, replica);
+                let position = table.active_rank(now, replica);
                 let share = position
                     .map_or(0.0, |(rank, nodes)| share(limit, rank, nodes));
                 Allocation { replica, limit, share }
--- a/src/gateway/suspects.rs
+++ b/src/gateway/suspects.rs
@@ -90,7 +90,7 @@
         if crashes >= MIN_URGENT_CRASHES {
             self.suspects_changed.notify_one();
             if let Some(mesh) = self.mesh.get() {
-                mesh.urge();
+                mesh.request_urgent_round();
             }
         }
     }
@@ -157,7 +157,7 @@
         {
             let table = mesh.table();
             quarantine.withdraw(fingerprint, |replica, at| {
-                table.has_spoken(replica, ending::heard_after(at))
+                table.was_heard_or_is_leaving(replica, ending::heard_after(at))
             });
         }
         let replicas = || self.fleet().load(service).0;
@@ -176,7 +176,7 @@
         let now = self.signed_now();
         let rank = match self.mesh.get() {
             Some(mesh) if reason.wait_ms == 0 => {
-                mesh.table().rank(self.timer.now(), fingerprint)
+                mesh.table().entry_rank(self.timer.now(), fingerprint)
             }
             _ => 0,
         };
--- a/src/mesh/datagram.rs
+++ b/src/mesh/datagram.rs
@@ -4,7 +4,9 @@
     FANOUT,
     replica::State,
     role::Role,
-    table::{NODE_RETENTION_MS, NODE_TIMEOUT_MS, News, Node, Own, Table},
+    table::{
+        Changes, LocalReport, NODE_RETENTION_MS, NODE_TIMEOUT_MS, Node, Table,
+    },
 };
 use crate::{
     util::{common, position},
@@ -70,11 +72,16 @@
 
 impl Table {
     /// Applies a received datagram. `wall_ms` is this node's wall-clock time.
-    pub fn hear(&mut self, now: u64, wall_ms: i64, gossip: Gossip) -> News {
-        let mut news = News::default();
-        let Some(from) = gossip.from else { return news };
+    pub fn receive(
+        &mut self,
+        now: u64,
+        wall_ms: i64,
+        gossip: Gossip,
+    ) -> Changes {
+        let mut changes = Changes::default();
+        let Some(from) = gossip.from else { return changes };
         if from.ip == self.me.ip {
-            return news;
+            return changes;
         }
         let (ip, incarnation) = (from.ip, from.incarnation);
         // A standby node sends the heartbeats that it receives from replicas
@@ -83,13 +90,13 @@
         let relays = self.is_member()
             && !from.has_disk
             && Role::of(&from) == Role::Standby;
-        news.nodes |= self.apply_peer(now, from, true);
+        changes.nodes |= self.apply_peer(now, from, true);
         for peer in gossip.peers {
-            news.nodes |= self.apply_peer(now, peer, false);
+            changes.nodes |= self.apply_peer(now, peer, false);
         }
-        if let Ok(at) = position(&self.nodes, &ip, |node| &node.says.ip) {
+        if let Ok(at) = position(&self.nodes, &ip, |node| &node.peer.ip) {
             let node = &mut self.nodes[at];
-            if node.says.incarnation == incarnation {
+            if node.peer.incarnation == incarnation {
                 node.clock_lead_ms = gossip.wall_ms - wall_ms;
                 node.heard_directly_at = now;
                 let scope = Scope::of(gossip.scope);
@@ -103,11 +110,11 @@
                 }
             }
         }
-        for says in gossip.replicas {
-            let leaves = State::from_u32(says.state) != State::Ready;
-            let changed = self.sight(now, says, relays);
-            news.replicas |= changed;
-            news.leaves |= changed && leaves;
+        for sighting in gossip.replicas {
+            let leaves = State::from_u32(sighting.state) != State::Ready;
+            let changed = self.apply_sighting(now, sighting, relays);
+            changes.replicas |= changed;
+            changes.departures |= changed && leaves;
         }
         for beat in gossip.beats {
             self.apply_beat(now, &beat, relays);
@@ -115,13 +122,13 @@
         self.counts.merge(Began { node: incarnation, windows: gossip.usage });
         for hash in gossip.left {
             let changed = self.apply_departure(now, hash);
-            news.replicas |= changed;
-            news.leaves |= changed;
+            changes.replicas |= changed;
+            changes.departures |= changed;
         }
         for relayed in gossip.relayed {
             self.counts.merge(relayed);
         }
-        news
+        changes
     }
 
     fn apply_beat(&mut self, now: u64, beat: &Beat, relays: bool) {
@@ -133,23 +140,23 @@
         }
     }
 
-    fn apply_peer(&mut self, now: u64, says: Peer, is_direct: bool) -> bool {
-        if says.ip == self.me.ip {
+    fn apply_peer(&mut self, now: u64, peer: Peer, is_direct: bool) -> bool {
+        if peer.ip == self.me.ip {
             return false;
         }
         // Subtracts the report's age. Counted from its arrival, a relayed
         // report of a dead node would keep that node live for as long as other
         // nodes relay it.
-        let heard_at = now.saturating_sub(u64::from(says.age_ms));
-        let says = Peer { age_ms: 0, ..says };
-        match position(&self.nodes, &says.ip, |node| &node.says.ip) {
+        let heard_at = now.saturating_sub(u64::from(peer.age_ms));
+        let peer = Peer { age_ms: 0, ..peer };
+        match position(&self.nodes, &peer.ip, |node| &node.peer.ip) {
             Ok(at) => {
                 let node = &mut self.nodes[at];
-                let is_restarted = node.says.incarnation != says.incarnation;
+                let is_restarted = node.peer.incarnation != peer.incarnation;
                 // A beat is a wall-clock time, so it also grows across
                 // restarts unless the clock has jumped back. In that case the
                 // restarted node is accepted once it sends a datagram itself.
-                let is_old = says.beat <= node.says.beat;
+                let is_old = peer.beat <= node.peer.beat;
                 if is_old && !(is_restarted && is_direct) {
                     return false;
                 }
@@ -159,12 +166,12 @@
                     node.spent.clear();
                     node.work.clear();
                 }
-                node.says = says;
+                node.peer = peer;
                 is_restarted
             }
             Err(at) => {
                 let node = Node {
-                    says,
+                    peer,
                     heard_at,
                     heard_directly_at: 0,
                     first_seen_at: now,
@@ -181,7 +188,12 @@
     }
 
     /// Returns the next datagram to members, with this node's load.
-    pub fn compose(&mut self, now: u64, wall_ms: i64, own: Own) -> Gossip {
+    pub fn compose(
+        &mut self,
+        now: u64,
+        wall_ms: i64,
+        own: LocalReport,
+    ) -> Gossip {
         let (replicas, beats) = self.next_replicas(now);
         let gossip = self.base_gossip(now, wall_ms, replicas, beats);
         let peers = self.next_peers(now, PEERS_PER_DATAGRAM);
@@ -211,7 +223,7 @@
         &mut self,
         now: u64,
         wall_ms: i64,
-        own: Own,
+        own: LocalReport,
         asker: &Peer,
     ) -> Gossip {
         let replicas = self.next_repeated(now);
@@ -253,7 +265,12 @@
         }
     }
 
-    fn with_load(&mut self, now: u64, gossip: Gossip, own: Own) -> Gossip {
+    fn with_load(
+        &mut self,
+        now: u64,
+        gossip: Gossip,
+        own: LocalReport,
+    ) -> Gossip {
         self.own_work.clone_from(&own.work);
         self.load_reports_sent += 1;
         Gossip {
@@ -269,7 +286,7 @@
                 .counts
                 .latest_of(self.me.incarnation, self.load_reports_sent),
             relayed: self.relayed(now),
-            unheard: self.unheard(now).map(|node| node.says.ip).collect(),
+            unheard: self.unheard(now).map(|node| node.peer.ip).collect(),
             ..gossip
         }
     }
@@ -291,8 +308,8 @@
     fn peers_for(&mut self, now: u64, asker: &Peer) -> Vec<Peer> {
         let from = self.next_near_peer;
         let is_needed = |node: &&Node| {
-            let is_near = node.says.data_centre == asker.data_centre;
-            node.says.has_disk || (is_near && node.is_active())
+            let is_near = node.peer.data_centre == asker.data_centre;
+            node.peer.has_disk || (is_near && node.is_active())
         };
         let needed: Vec<&Node> = self.members(now).filter(is_needed).collect();
         let count = needed.len().min(MAX_NEEDED_PEERS_PER_ANSWER);
@@ -361,7 +378,7 @@
             }
             let retention_ms = match replica.state {
                 State::Ready => REPLICA_RETENTION_MS,
-                State::Leaving | State::Gone => TOMBSTONE_RETENTION_MS,
+                State::Leaving | State::Departed => TOMBSTONE_RETENTION_MS,
             };
             now < replica.heard_at + retention_ms
         });
--- a/src/mesh/round.rs
+++ b/src/mesh/round.rs
@@ -8,7 +8,7 @@
     FANOUT, GREETING_INTERVAL_ROUNDS, LOAD_FANOUT,
     datagram::Scope,
     role::{MAX_ADDRESSES, Role},
-    table::{Node, Own, Table},
+    table::{LocalReport, Node, Table},
 };
 use crate::{
     util::mix,
@@ -68,7 +68,7 @@
     pub fn round(
         &mut self,
         round: Round,
-        own: Own,
+        own: LocalReport,
         seeds: &[Ipv4Addr],
     ) -> Vec<Datagram> {
         let mut datagrams = match (self.is_member(), round.is_urgent) {
@@ -90,7 +90,11 @@
     /// The latter takes a tenth of the bytes and contains what routing depends
     /// on: with reports that are 0.5 s old instead of 0.15 s, forty nodes send
     /// requests to the same idle replicas.
-    fn member_round(&mut self, round: Round, own: Own) -> Vec<Datagram> {
+    fn member_round(
+        &mut self,
+        round: Round,
+        own: LocalReport,
+    ) -> Vec<Datagram> {
         let gossip = self.compose(round.now, round.wall_ms, own);
         let mut to = ips(self.members(round.now));
         let mut rest = Vec::new();
@@ -144,7 +148,7 @@
     fn urgent_member_round(
         &mut self,
         round: Round,
-        own: Own,
+        own: LocalReport,
     ) -> Vec<Datagram> {
         let to = ips(self.members(round.now));
         if to.len() <= FANOUT {
@@ -167,13 +171,17 @@
 
     /// Asks one node every second round, in this node's data centre if
     /// possible.
-    fn standby_round(&mut self, round: Round, own: Own) -> Vec<Datagram> {
-        let me = u64::from(self.own().ip);
+    fn standby_round(
+        &mut self,
+        round: Round,
+        own: LocalReport,
+    ) -> Vec<Datagram> {
+        let me = u64::from(self.own_peer().ip);
         if !(round.number + me).is_multiple_of(STANDBY_QUERY_INTERVAL_ROUNDS) {
             return Vec::new();
         }
-        let near = self.own().data_centre.clone();
-        let is_near = |node: &&Node| node.says.data_centre == near;
+        let near = self.own_peer().data_centre.clone();
+        let is_near = |node: &&Node| node.peer.data_centre == near;
         let mut to = ips(self.members(round.now).filter(is_near));
         if to.is_empty() {
             to = ips(self.members(round.now));
@@ -212,7 +220,7 @@
         // All known members, whether heard at the moment or not: where
         // hundreds of nodes have just started, each hears a part of them.
         let known = self.nodes().iter();
-        let to = ips(known.filter(|node| Role::is_member(&node.says)));
+        let to = ips(known.filter(|node| Role::is_member(&node.peer)));
         vec![Datagram { to, gossip }]
     }
 
@@ -252,10 +260,10 @@
         if !self.is_member() && live.len() >= MIN_HEARD_WITHOUT_SEEDS {
             return Vec::new();
         }
-        let me = Ipv4Addr::from(self.own().ip);
+        let me = Ipv4Addr::from(self.own_peer().ip);
         let known = self.nodes().iter();
         let mut silent: Vec<Ipv4Addr> = known
-            .filter(|node| Role::is_member(&node.says))
+            .filter(|node| Role::is_member(&node.peer))
             .map(Node::ip)
             .chain(seeds.iter().copied())
             .filter(|ip| *ip != me && !live.contains(ip))
@@ -268,7 +276,7 @@
     /// Returns some of the standby nodes that were heard recently, in turn.
     fn next_standbys(&mut self, now: u64) -> Vec<Ipv4Addr> {
         let standbys = self.nodes().iter().filter(|node| {
-            !Role::is_member(&node.says)
+            !Role::is_member(&node.peer)
                 && now < node.heard_at + MAX_STANDBY_REPORT_AGE_MS
         });
         let standbys = ips(standbys);
@@ -283,15 +291,20 @@
     /// Returns the nodes that callers in a data centre may connect to: the
     /// active nodes there, or those of all data centres if too few are there
     /// or there are few active nodes in all.
-    pub fn handed_out(&self, now: u64, near: Option<&str>) -> Vec<Ipv4Addr> {
-        let own = self.is_active().then_some((self.own().ip, self.own()));
+    pub fn caller_addresses(
+        &self,
+        now: u64,
+        near: Option<&str>,
+    ) -> Vec<Ipv4Addr> {
+        let own =
+            self.is_active().then_some((self.own_peer().ip, self.own_peer()));
         let others = self.live(now).filter(|node| node.is_active());
-        let others = others.map(|node| (node.says.ip, &node.says));
+        let others = others.map(|node| (node.peer.ip, &node.peer));
         let mut all: Vec<(u32, &Peer)> = own.into_iter().collect();
         all.extend(others);
         if all.len() > MAX_ACTIVE_FOR_ALL_CALLERS {
-            let is_near = |(_, says): &&(u32, &Peer)| {
-                near.is_some_and(|near| says.data_centre == near)
+            let is_near = |(_, peer): &&(u32, &Peer)| {
+                near.is_some_and(|near| peer.data_centre == near)
             };
             if all.iter().filter(is_near).count() >= MIN_ACTIVE_IN_DATA_CENTRE
             {
@@ -309,7 +322,7 @@
 
     /// Returns the nodes that can lead, which alone make usage reports.
     fn nodes_with_disk(&self, now: u64) -> Vec<Ipv4Addr> {
-        ips(self.live(now).filter(|node| node.says.has_disk))
+        ips(self.live(now).filter(|node| node.peer.has_disk))
     }
 }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -57,7 +57,7 @@
     },
     mesh::{
         self,
-        table::{News, Own},
+        table::{Changes, LocalReport},
     },
     timer::Timer,
     util::random_id,
@@ -300,7 +300,7 @@
         let now = node.gateway.timer.now();
         let port = node.front.port();
         let Some(mesh) = node.mesh.get() else { return Vec::new() };
-        let handed = mesh.table().handed_out(now, near);
+        let handed = mesh.table().caller_addresses(now, near);
         handed.into_iter().map(|ip| SocketAddrV4::new(ip, port)).collect()
     }
 
@@ -339,8 +339,8 @@
         let id = says.id.clone();
         let (state, leaves_ms) = (says.state, says.leaves_ms);
         let mut table = mesh.table();
-        let former = table.former_life(&says);
-        let changed = table.sight(now, says, true);
+        let former = table.former_incarnation(&says);
+        let changed = table.apply_sighting(now, says, true);
         drop(table);
         if changed {
             info!(
@@ -351,7 +351,7 @@
             // Refreshed before the replica has its answer: from then on it
             // counts on getting no new work if it said that it leaves.
             node.gateway.refresh();
-            mesh.urge();
+            mesh.request_urgent_round();
         }
     }
 
@@ -440,10 +440,10 @@
         let version = self.gateway.plan_version();
         if let Some(mesh) = self.mesh.get() {
             let mut table = mesh.table();
-            table.me().serving = ready;
-            table.me().plan_version = version;
+            table.own_peer_mut().serving = ready;
+            table.own_peer_mut().plan_version = version;
             drop(table);
-            mesh.urge();
+            mesh.request_urgent_round();
         }
     }
 
@@ -455,9 +455,10 @@
         let mut newer = false;
         let leader = {
             let mut table = mesh.table();
-            let mut best = (table.own().leader_term, table.own().leader);
+            let mut best =
+                (table.own_peer().leader_term, table.own_peer().leader);
             for node in table.live(now) {
-                let says = &node.says;
+                let says = &node.peer;
                 if says.has_disk {
                     members.push((node.ip(), self.peer_port).into());
                 }
@@ -466,11 +467,12 @@
                 }
                 newer |= says.plan_version > self.gateway.plan_version();
             }
-            if table.own().has_disk {
-                let ip = Ipv4Addr::from(table.own().ip);
+            if table.own_peer().has_disk {
+                let ip = Ipv4Addr::from(table.own_peer().ip);
                 members.push((ip, self.peer_port).into());
             }
-            (table.me().leader_term, table.me().leader) = best;
+            (table.own_peer_mut().leader_term, table.own_peer_mut().leader) =
+                best;
             best.1
         };
         self.control.set_members(&members);
@@ -484,15 +486,15 @@
 }
 
 impl mesh::Host for Node {
-    fn own(&self) -> Own {
+    fn local_report(&self) -> LocalReport {
         self.gateway.local_report()
     }
 
-    fn cached(&self, cached: Vec<Cached>) {
+    fn on_cached(&self, cached: Vec<Cached>) {
         self.gateway.record_cached_reports(&cached);
     }
 
-    fn suspects(
+    fn on_crashes(
         &self,
         crashes: &[Crash],
         successes: &[Success],
@@ -501,24 +503,24 @@
         self.gateway.receive_crash_reports(crashes, successes, passes_on);
     }
 
-    fn suspected(&self, crashes: &[Crash], passes_on: bool) {
+    fn on_suspected_crashes(&self, crashes: &[Crash], passes_on: bool) {
         self.gateway.receive_suspected_crashes(crashes, passes_on);
     }
 
-    fn limits(&self, limits: &[RateLimit]) {
+    fn on_rate_limits(&self, limits: &[RateLimit]) {
         self.gateway.receive_rate_limits(limits);
     }
 
-    fn news(self: Arc<Self>, news: News) {
+    fn on_changes(self: Arc<Self>, changes: Changes) {
         // Who leaves must get nothing more from now on. Replicas that appear
         // can wait a moment for others: a thousand of them may start at once.
-        let appears = news.replicas || news.nodes;
-        match appears && !news.leaves {
+        let appears = changes.replicas || changes.nodes;
+        match appears && !changes.departures {
             true => self.gateway.refresh_soon(),
             false => self.gateway.refresh(),
         }
         self.follow_mesh();
-        if news.steps_in {
+        if changes.became_active {
             // It was told little while it stood by.
             self.gateway.settle_quota_use();
             tokio::spawn(recall::learn(self, None));
--- a/src/node/recall.rs
+++ b/src/node/recall.rs
@@ -204,7 +204,7 @@
     info!(target: "node", replicas = replicas.len(), "Replicas from {from}.");
     let now = node.gateway.timer.now();
     for says in replicas {
-        mesh.table().sight(now, change(says), false);
+        mesh.table().apply_sighting(now, change(says), false);
     }
     node.gateway.refresh();
 }
@@ -220,7 +220,7 @@
     let table = node.mesh.get()?.table();
     // Whoever stands by knows no more.
     let live = table.members(node.gateway.timer.now());
-    let able = live.filter(|one| one.says.has_disk || !with_disk);
+    let able = live.filter(|one| one.peer.has_disk || !with_disk);
     able.map(|one| one.ip()).choose(&mut rand::rng())
 }
 
--- a/tests/all/mesh_scale.rs
+++ b/tests/all/mesh_scale.rs
@@ -14,7 +14,7 @@
 use azuremount::{
     mesh::{
         round::{Datagram, Round},
-        table::{Own, State, Table},
+        table::{LocalReport, State, Table},
     },
     wire::{Cached, Gossip, Peer, Sighting, Spent, Under, Work},
 };
@@ -125,7 +125,7 @@
             let hello = gossip.hello;
             let (now, wall_ms) = (self.now, self.now as i64);
             let asker = gossip.from.clone().unwrap_or_default();
-            self.vms[to].table.hear(now, wall_ms, gossip);
+            self.vms[to].table.receive(now, wall_ms, gossip);
             if hello {
                 let own = self.own(to);
                 let answer =
@@ -143,7 +143,9 @@
                 let at = self.rng.random_range(0..self.vms.len());
                 let sighting = self.sighting(replica, 0);
                 if !self.vms[at].is_down {
-                    self.vms[at].table.sight(self.now, sighting, true);
+                    self.vms[at]
+                        .table
+                        .apply_sighting(self.now, sighting, true);
                 }
             }
         }
@@ -164,7 +166,7 @@
     }
 
     /// Returns what a node would report of its callers' requests.
-    fn own(&mut self, at: usize) -> Own {
+    fn own(&mut self, at: usize) -> LocalReport {
         let active = self.actives();
         let rate = match active.binary_search(&at) {
             Ok(_) => REQUESTS_PER_S / active.len() as u64,
@@ -178,7 +180,7 @@
         let begun = vm.begun / 1000;
         let at = at as u64;
         if begun == 0 {
-            return Own::default();
+            return LocalReport::default();
         }
         let under = (0..rate).map(|number| Under {
             replica: (at * 31 + number * 7 + begun) % self.replicas,
@@ -198,13 +200,13 @@
             let team = format!("team{team:04}");
             vm.table.count_began(self.now / 5000, &team);
         }
-        Own {
+        LocalReport {
             under: under.collect(),
             spent: spent.collect(),
             work: vec![Work { service: 5, ms: begun * 90 }],
             cached: cached.collect(),
             begun,
-            ..Own::default()
+            ..LocalReport::default()
         }
     }
 
@@ -280,7 +282,7 @@
         let (mut pairs, mut missed) = (0, 0);
         for (at, vm) in self.vms.iter().enumerate() {
             let near = data_centre(at);
-            let handed_out = vm.table.handed_out(self.now, Some(&near));
+            let handed_out = vm.table.caller_addresses(self.now, Some(&near));
             let same =
                 actives.iter().filter(|&&active| data_centre(active) == near);
             for &active in same.filter(|&&active| active != at) {
@@ -397,7 +399,7 @@
             let now = fleet.now;
             let mut parts = Vec::new();
             for at in fleet.actives() {
-                let (entries, unheard) = fleet.vms[at].table.reach(now);
+                let (entries, unheard) = fleet.vms[at].table.entry_counts(now);
                 parts.push(unheard * 1000 / entries);
             }
             let mean = parts.iter().sum::<usize>() / parts.len();
@@ -420,7 +422,7 @@
         for &replica in &leaving {
             let at = fleet.rng.random_range(0..nodes);
             let sighting = fleet.sighting(replica, 1);
-            fleet.vms[at].table.sight(fleet.now, sighting, true);
+            fleet.vms[at].table.apply_sighting(fleet.now, sighting, true);
             fleet.run_round(at, true);
         }
         fleet.run(SETTLED_AT_MS + 2000);
@@ -429,7 +431,7 @@
             let ready = vm.table.replicas().iter();
             late += ready
                 .filter(|replica| replica.state == State::Ready)
-                .filter(|replica| replica.says.ip % 6 == 0x0a80_0000 % 6)
+                .filter(|replica| replica.sighting.ip % 6 == 0x0a80_0000 % 6)
                 .count();
         }
         let pairs = leaving.len() * nodes;
@@ -454,7 +456,7 @@
         fleet.run(SETTLED_AT_MS + 4000);
         for (at, vm) in fleet.vms.iter().enumerate() {
             let near = data_centre(at);
-            let handed_out = vm.table.handed_out(fleet.now, Some(&near));
+            let handed_out = vm.table.caller_addresses(fleet.now, Some(&near));
             if vm.is_down {
                 continue;
             }
