--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,27 +1,29 @@
-//! An entry: answers callers, forwards to endpoints, keeps nothing on disk.
+//! An entry serves callers over HTTP and forwards their requests to endpoints.
+//! It stores nothing on disk.
 //!
-//! | module | does |
+//! | module | purpose |
 //! |---|---|
-//! | [`callers`] | the HTTP interface towards callers |
-//! | [`endpoints`] | the HTTP interface towards endpoints |
-//! | [`sync`] | configuration, fleet and lease, from control |
-//! | [`fleet`] | endpoints, with a router for each service |
-//! | [`admission`] | who may start, who waits, who is refused |
-//! | [`answers`] | writing model answers, for readers that come and go |
-//! | [`claims`] | claims in control's ledger |
-//! | [`plain`] | calls to plain services, at most once where it matters |
-//! | [`chat`] | what is checked of a chat request |
-//! | [`model`] | model requests, from acceptance to the end |
-//! | [`suspects`] | requests that may have ended endpoints |
-//! | [`requests`] | the model requests known here |
-//! | [`peers`] | copies of requests at a second entry |
+//! | [`callers`] | HTTP interface for callers |
+//! | [`endpoints`] | HTTP interface for endpoints |
+//! | [`sync`] | receives configuration, fleet and lease from control |
+//! | [`fleet`] | endpoints, and a router for each service |
+//! | [`admission`] | starts, queues or refuses requests |
+//! | [`answers`] | sends model answers to callers, which may reconnect |
+//! | [`claims`] | claims on idempotency keys in control's ledger |
+//! | [`plain`] | calls to plain services, at most once if not repeatable |
+//! | [`chat`] | parses and checks chat requests |
+//! | [`model`] | runs model requests from acceptance to the end |
+//! | [`suspects`] | requests that may have crashed endpoints |
+//! | [`requests`] | table of the model requests that this entry knows |
+//! | [`peers`] | replicates model requests to a second entry |
 //! | [`dispatch`] | connections to endpoints |
 //!
 //! # Stopping
 //!
-//! [`Handle::shutdown`] is the whole of a planned stop. The entry is no longer
-//! handed out and takes nothing new; what runs gets the configured time; what
-//! still runs then is handed over to other entries. No request is cut off.
+//! [`Handle::shutdown`] performs a planned stop. Callers no longer receive the
+//! entry's address, and the entry accepts no new requests. Running requests
+//! have the configured drain time to finish. The entry then hands over the
+//! remaining model requests to other entries. No request is cut off.
 
 pub mod admission;
 pub mod answers;
@@ -71,16 +73,17 @@
     wire::EntryInfo,
 };
 
-/// How often waiting requests are looked at.
-const ADMISSION_TICK: Duration = Duration::from_millis(20);
-/// How often a stopping entry looks whether all has ended.
-const DRAIN_LOOK: Duration = Duration::from_millis(20);
-/// After the drain: how long readers get to take what was written.
-const LAST_WORDS: Duration = Duration::from_millis(300);
-/// For an entry that never had a configuration.
+/// Interval at which waiting requests are started or refused.
+const ADMISSION_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which a draining entry checks for running requests.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time after the drain in which callers can receive the rest of their
+/// answers. Also the time limit for stopping the peer server.
+const SHUTDOWN_GRACE_PERIOD: Duration = Duration::from_millis(300);
+/// Drain time of an entry that never received a configuration, in ms.
 const DEFAULT_DRAIN_MS: u64 = 1000;
 
-/// A running entry.
+/// Handle to a running entry.
 #[derive(Debug)]
 pub struct Handle {
     state: Shared,
@@ -92,17 +95,18 @@
 
 /// Starts an entry.
 ///
-/// It serves callers once it has a lease and a configuration.
+/// The entry serves callers once it has a lease and a configuration.
 ///
 /// # Errors
 ///
-/// When an address can't be bound.
+/// Returns an error if an address can't be bound.
 pub async fn spawn(settings: &settings::Entry) -> io::Result<Handle> {
     let peer_listener = TcpListener::bind(settings.peer_listen).await?;
     let peer_address = peer_listener.local_addr()?;
     let timer = Timer::spawn();
     let shared: Arc<std::sync::OnceLock<Shared>> = Arc::default();
-    // The server has to be bound before the state can name its address.
+    // The state contains the server's address, so the server is bound first
+    // and receives the state later.
     let handler = {
         let shared = shared.clone();
         move |request| {
@@ -110,7 +114,7 @@
             async move {
                 match state {
                     Some(state) => callers::serve(state, request).await,
-                    None => not_ready(),
+                    None => starting_response(),
                 }
             }
         }
@@ -127,9 +131,9 @@
         serving: false,
         in_force: 0,
     };
-    let state = Arc::new(open_state(settings, info, timer));
+    let state = Arc::new(create_state(settings, info, timer));
     let _ = shared.set(state.clone());
-    info!(target: "entry", "Entry {} starts at {address}.", state.info.id);
+    info!(target: "entry", "Starting entry {} at {address}.", state.info.id);
     let (stop_peers, mut stopped) = watch::channel(false);
     let peers = tokio::spawn({
         let state = state.clone();
@@ -147,16 +151,16 @@
         tokio::spawn(sync::run(state.clone())),
         tokio::spawn(peers::adopt_orphans(state.clone())),
     ];
-    let ticking = Arc::downgrade(&state);
-    state.timer.subscribe(ADMISSION_TICK, move |_| {
-        let Some(state) = ticking.upgrade() else { return false };
+    let weak_state = Arc::downgrade(&state);
+    state.timer.subscribe(ADMISSION_INTERVAL, move |_| {
+        let Some(state) = weak_state.upgrade() else { return false };
         state.admission.tick(&state);
         true
     });
     Ok(Handle { state, server, peers, stop_peers, tasks })
 }
 
-fn not_ready() -> http_server::Response {
+fn starting_response() -> http_server::Response {
     let body = serde_json::json!({
         "error": "the entry is starting",
         "verdict": "not run",
@@ -166,7 +170,7 @@
     http_server::Response::json(status, &body)
 }
 
-fn open_state(
+fn create_state(
     settings: &settings::Entry,
     info: EntryInfo,
     timer: Timer,
@@ -198,37 +202,37 @@
 }
 
 impl Handle {
-    /// The address for callers and endpoints.
+    /// Returns the address for callers and endpoints.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Stops in order: see the module head.
+    /// Drains and stops the entry, as described in the module documentation.
     pub async fn shutdown(self) {
         let state = &self.state;
-        info!(target: "entry", "Stops taking requests.");
+        info!(target: "entry", "Draining; accepting no new requests.");
         state.board.draining.write(true);
         let config = state.board.config.read();
-        let drain_ms = config
-            .as_ref()
-            .as_ref()
-            .map_or(DEFAULT_DRAIN_MS, |known| known.config.system.drain_ms);
-        let give_up = state.now() + drain_ms;
-        while state.now() < give_up && !is_idle(state) {
-            sleep(DRAIN_LOOK).await;
+        let drain_ms =
+            config.as_ref().as_ref().map_or(DEFAULT_DRAIN_MS, |in_force| {
+                in_force.config.system.drain_ms
+            });
+        let drain_until = state.now() + drain_ms;
+        while state.now() < drain_until && !is_idle(state) {
+            sleep(DRAIN_CHECK_INTERVAL).await;
         }
-        hand_over_rest(state).await;
-        // Calls that can't be handed over end by their endpoint's silence at
-        // the latest.
+        hand_over_running(state).await;
+        // Calls that can't be handed over end at the latest when their
+        // endpoint's silence timeout expires.
         while state.metrics.running.get() > 0 {
-            sleep(DRAIN_LOOK).await;
+            sleep(DRAIN_CHECK_INTERVAL).await;
         }
-        sleep(LAST_WORDS).await;
+        sleep(SHUTDOWN_GRACE_PERIOD).await;
         for task in &self.tasks {
             task.abort();
         }
         let _ = self.stop_peers.send(true);
-        let _ = tokio::time::timeout(LAST_WORDS, self.peers).await;
+        let _ = tokio::time::timeout(SHUTDOWN_GRACE_PERIOD, self.peers).await;
         let server = self.server;
         let stopped = tokio::task::spawn_blocking(|| server.shutdown());
         let _ = stopped.await;
@@ -236,7 +240,8 @@
     }
 }
 
-/// True when nothing runs here, and all copies are up to date.
+/// Whether no request runs on this entry and the buddies have received all
+/// pieces and the outcome of its model requests.
 fn is_idle(state: &State) -> bool {
     let busy = state.requests.select(|record| {
         record.owner() == Owner::Here
@@ -245,23 +250,24 @@
     state.metrics.running.get() == 0 && busy.is_empty()
 }
 
-async fn hand_over_rest(state: &Shared) {
-    let rest = state.requests.select(|record| {
+async fn hand_over_running(state: &Shared) {
+    let running = state.requests.select(|record| {
         record.owner() == Owner::Here && record.outcome() == Outcome::Running
     });
-    for record in rest {
+    for record in running {
         match peers::hand_over(state, &record).await {
             Some(address) => {
                 info!(
                     target: "entry",
-                    "Hands {} over to {address}.", record.id
+                    "Handed request {} over to {address}.", record.id
                 );
                 record.set_owner(Owner::HandedOver { address });
             }
             None => {
                 warn!(
                     target: "entry",
-                    "Nobody takes {}; waits for its end.", record.id
+                    "No entry accepted request {}; waiting for its end here.",
+                    record.id
                 );
             }
         }
