--- a/src/entry/admission.rs
+++ b/src/entry/admission.rs
@@ -1,4 +1,4 @@
-//! Holds requests at the gates of `decide::admit` until they may start.
+//! Queues requests until the [`Gate`] of their service lets them start.
 
 use std::sync::Mutex;
 
@@ -16,26 +16,26 @@
     verdict::Verdict,
 };
 
-/// First guess at how long a request runs, in ms.
-const HOLD_MS: f32 = 1000.0;
+/// Initial estimate of how long a request holds its slot, in ms.
+const INITIAL_HOLD_MS: f32 = 1000.0;
 
-type Answer = oneshot::Sender<Result<(), u64>>;
+type DecisionSender = oneshot::Sender<Result<(), u64>>;
 
 struct Waiting {
     ticket: Ticket,
     team: String,
-    answer: Answer,
+    sender: DecisionSender,
 }
 
-struct Line {
+struct ServiceQueue {
     service: String,
     gate: Gate,
     waiting: Vec<Waiting>,
 }
 
-/// The gates of one entry, sorted by service.
+/// Gates and waiting requests of one entry, sorted by service.
 #[derive(Default)]
-pub struct Admission(Mutex<Vec<Line>>);
+pub struct Admission(Mutex<Vec<ServiceQueue>>);
 
 impl std::fmt::Debug for Admission {
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
@@ -43,24 +43,26 @@
     }
 }
 
-/// The right to have one request at the endpoints; dropping it ends that.
+/// Permission to run one request at the endpoints.
+///
+/// Dropping it releases the slot.
 #[derive(Debug)]
 pub struct Permit {
     state: Shared,
     service: String,
     team: String,
-    since: u64,
+    started_at: u64,
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
         let now = self.state.now();
-        let held = now.saturating_sub(self.since) as f32;
+        let held_ms = now.saturating_sub(self.started_at) as f32;
         self.state.metrics.running.dec();
         let admission = &self.state.admission;
-        admission.with(&self.state, &self.service, |line, room| {
-            line.gate.finish(&self.team, held);
-            advance(line, now, room);
+        admission.with(&self.state, &self.service, |queue, room| {
+            queue.gate.finish(&self.team, held_ms);
+            decide_waiting(queue, now, room);
         });
     }
 }
@@ -69,7 +71,8 @@
 ///
 /// # Errors
 ///
-/// A refusal, at once, when it can't start before `start_by`.
+/// Returns a refusal as soon as the request is predicted not to start before
+/// `start_by`.
 pub async fn admit(
     state: &Shared,
     service: &Service,
@@ -77,14 +80,15 @@
     cost: f32,
     start_by: u64,
 ) -> Result<Permit, Refusal> {
-    let arrived = state.now();
-    let (answer, answered) = oneshot::channel();
-    let arrival = state.admission.with(state, &service.name, |line, room| {
-        let arrival = line.gate.arrive(arrived, room, team, cost, start_by);
+    let arrived_at = state.now();
+    let (sender, decision) = oneshot::channel();
+    let arrival = state.admission.with(state, &service.name, |queue, room| {
+        let arrival =
+            queue.gate.arrive(arrived_at, room, team, cost, start_by);
         if let Arrival::Wait(ticket) = arrival {
             let team = team.to_owned();
-            let waiting = Waiting { ticket, team, answer };
-            upsert(&mut line.waiting, waiting, |one| &one.ticket);
+            let waiting = Waiting { ticket, team, sender };
+            upsert(&mut queue.waiting, waiting, |waiting| &waiting.ticket);
         }
         arrival
     });
@@ -94,21 +98,21 @@
             state: state.clone(),
             service: service.name.clone(),
             team: team.to_owned(),
-            since: state.now(),
+            started_at: state.now(),
         }
     };
     match arrival {
         Arrival::Start => Ok(permit()),
-        Arrival::Refuse(after) => Err(too_busy(after)),
-        Arrival::Wait(_) => match answered.await {
+        Arrival::Refuse(after_ms) => Err(deadline_refusal(after_ms)),
+        Arrival::Wait(_) => match decision.await {
             Ok(Ok(())) => Ok(permit()),
-            Ok(Err(after)) => Err(too_busy(after)),
-            Err(_) => Err(too_busy(1000)),
+            Ok(Err(after_ms)) => Err(deadline_refusal(after_ms)),
+            Err(_) => Err(deadline_refusal(1000)),
         },
     }
 }
 
-fn too_busy(after_ms: u64) -> Refusal {
+fn deadline_refusal(after_ms: u64) -> Refusal {
     Refusal {
         status: StatusCode::TOO_MANY_REQUESTS,
         verdict: Verdict::NotRun,
@@ -118,30 +122,35 @@
 }
 
 impl Admission {
-    /// Takes teams and services from a configuration.
+    /// Applies the teams and services of a configuration.
     pub fn configure(&self, config: &Config) {
-        let mut lines = self.0.lock().unwrap_or_else(|held| held.into_inner());
+        let mut queues =
+            self.0.lock().unwrap_or_else(|held| held.into_inner());
         for service in &config.services {
-            let at = line_of(&mut lines, &service.name);
+            let at = queue_index(&mut queues, &service.name);
             let teams = config
                 .teams
                 .iter()
                 .map(|team| (team.name.as_str(), team.weight));
-            let limit = service.queue as usize * service.slots as usize;
-            lines[at].gate.set_teams(teams, limit.max(1));
+            let max_waiting = service.queue as usize * service.slots as usize;
+            queues[at].gate.set_teams(teams, max_waiting.max(1));
         }
     }
 
-    /// Starts whatever may start, and refuses what no longer can.
+    /// Starts the waiting requests that may start, and refuses those that can
+    /// no longer start in time.
     pub fn tick(&self, state: &State) {
         let services: Vec<String> = {
-            let lines = self.0.lock().unwrap_or_else(|held| held.into_inner());
-            let busy = lines.iter().filter(|line| !line.waiting.is_empty());
-            busy.map(|line| line.service.clone()).collect()
+            let queues =
+                self.0.lock().unwrap_or_else(|held| held.into_inner());
+            let busy = queues.iter().filter(|queue| !queue.waiting.is_empty());
+            busy.map(|queue| queue.service.clone()).collect()
         };
         let now = state.now();
         for service in services {
-            self.with(state, &service, |line, room| advance(line, now, room));
+            self.with(state, &service, |queue, room| {
+                decide_waiting(queue, now, room)
+            });
         }
     }
 
@@ -149,17 +158,18 @@
         &self,
         state: &State,
         service: &str,
-        act: impl FnOnce(&mut Line, Room) -> T,
+        operation: impl FnOnce(&mut ServiceQueue, Room) -> T,
     ) -> T {
-        let room = room(state, service);
-        let mut lines = self.0.lock().unwrap_or_else(|held| held.into_inner());
-        let at = line_of(&mut lines, service);
-        act(&mut lines[at], room)
+        let room = current_room(state, service);
+        let mut queues =
+            self.0.lock().unwrap_or_else(|held| held.into_inner());
+        let at = queue_index(&mut queues, service);
+        operation(&mut queues[at], room)
     }
 }
 
-fn room(state: &State, service: &str) -> Room {
-    let others = state
+fn current_room(state: &State, service: &str) -> Room {
+    let other_count = state
         .board
         .entries
         .read()
@@ -171,46 +181,50 @@
         Some(pool) => Room {
             slots: pool.slots(),
             load: pool.load() as u32,
-            entries: others + 1,
+            entries: other_count + 1,
         },
-        None => Room { slots: 0, load: 0, entries: others + 1 },
+        None => Room { slots: 0, load: 0, entries: other_count + 1 },
     }
 }
 
-fn line_of(lines: &mut Vec<Line>, service: &str) -> usize {
-    match position(lines, service, |line| line.service.as_str()) {
+fn queue_index(queues: &mut Vec<ServiceQueue>, service: &str) -> usize {
+    match position(queues, service, |queue| queue.service.as_str()) {
         Ok(at) => at,
         Err(at) => {
-            let line = Line {
+            let queue = ServiceQueue {
                 service: service.to_owned(),
-                gate: Gate::open(HOLD_MS),
+                gate: Gate::open(INITIAL_HOLD_MS),
                 waiting: Vec::new(),
             };
-            lines.insert(at, line);
+            queues.insert(at, queue);
             at
         }
     }
 }
 
-fn advance(line: &mut Line, now: u64, room: Room) {
-    for (ticket, after) in line.gate.remove_late(now, room) {
-        answer(line, ticket, Err(after));
+fn decide_waiting(queue: &mut ServiceQueue, now: u64, room: Room) {
+    for (ticket, after_ms) in queue.gate.remove_late(now, room) {
+        send_decision(queue, ticket, Err(after_ms));
     }
     let mut room = room;
-    while let Some(ticket) = line.gate.next(room) {
-        // Its load will show up in the pool only once it is dispatched.
+    while let Some(ticket) = queue.gate.next(room) {
+        // The pool counts the request only once it is dispatched.
         room.load += 1;
-        answer(line, ticket, Ok(()));
+        send_decision(queue, ticket, Ok(()));
     }
 }
 
-fn answer(line: &mut Line, ticket: Ticket, result: Result<(), u64>) {
-    let found = position(&line.waiting, &ticket, |one| &one.ticket);
+fn send_decision(
+    queue: &mut ServiceQueue,
+    ticket: Ticket,
+    result: Result<(), u64>,
+) {
+    let found = position(&queue.waiting, &ticket, |waiting| &waiting.ticket);
     let Ok(at) = found else { return };
-    let waiting = line.waiting.remove(at);
-    let gone = waiting.answer.send(result).is_err();
-    if gone && result.is_ok() {
-        // The caller has gone: its slot must not stay taken.
-        line.gate.release_unused(&waiting.team);
+    let waiting = queue.waiting.remove(at);
+    let disconnected = waiting.sender.send(result).is_err();
+    if disconnected && result.is_ok() {
+        // The caller has disconnected, so the slot is released.
+        queue.gate.release_unused(&waiting.team);
     }
 }
