--- a/src/entry/answers.rs
+++ b/src/entry/answers.rs
@@ -1,7 +1,8 @@
-//! Writing model answers: as events, or whole; from here, or from elsewhere.
+//! Sends model answers to callers, as event streams or as whole responses.
 //!
-//! A reader is apart from the run that it follows: one that goes away ends
-//! nothing, and one that comes back goes on at any piece.
+//! The answer comes from a record of this entry or from another entry. Sending
+//! is independent of the request's execution: a caller that disconnects does
+//! not stop the request, and a caller that reconnects can resume at any piece.
 
 use std::{sync::Arc, time::Duration};
 
@@ -24,16 +25,17 @@
     verdict::Verdict,
 };
 
-/// Pieces that may wait for a slow reader.
-const READ_AHEAD: usize = 64;
-/// How often a reader looks whether the record's owner has changed.
-const LOOK: Duration = Duration::from_secs(1);
-/// Pause before asking the other entries again.
-const ASK_AGAIN: Duration = Duration::from_millis(200);
-/// How long nobody may know a request before its reader gives up, in ms.
+/// Maximum number of pieces buffered for a slow caller.
+const MAX_BUFFERED_PIECES: usize = 64;
+/// Maximum interval between two checks for a new owner of the record.
+const OWNER_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between two attempts to fetch pieces from other entries.
+const FETCH_RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Time without an entry that knows the request after which the stream fails,
+/// in ms.
 ///
-/// Longer than an owner's lease and its takeover by the buddy.
-const UNKNOWN_MS: u64 = 10_000;
+/// It is longer than the owner's lease and the takeover by the buddy together.
+const UNKNOWN_REQUEST_TIMEOUT_MS: u64 = 10_000;
 
 fn event_stream(id: &str, pieces: mpsc::Receiver<Piece>) -> Response {
     let mut response =
@@ -44,7 +46,7 @@
     response
 }
 
-fn chunk(id: &str, model: &str, offset: usize, text: &str) -> Bytes {
+fn chunk_event(id: &str, model: &str, offset: usize, text: &str) -> Bytes {
     let data = json!({
         "id": id,
         "object": "chat.completion.chunk",
@@ -58,141 +60,145 @@
     Bytes::from(format!("id: {offset}\ndata: {data}\n\n"))
 }
 
-fn done(offset: usize) -> Bytes {
+fn done_event(offset: usize) -> Bytes {
     Bytes::from(format!("id: {offset}\ndata: [DONE]\n\n"))
 }
 
-fn failure(text: &str, verdict: Verdict) -> Bytes {
+fn error_event(text: &str, verdict: Verdict) -> Bytes {
     let data = json!({ "error": text, "verdict": verdict.as_str() });
     Bytes::from(format!("event: error\ndata: {data}\n\n"))
 }
 
-fn moved(state: &State, offset: usize) -> Bytes {
+fn moved_event(state: &State, offset: usize) -> Bytes {
     let entries = other_entries(state);
     let data = json!({ "entries": entries, "from": offset });
     Bytes::from(format!("event: moved\ndata: {data}\n\n"))
 }
 
-/// Streams a request known here, from a piece on.
+/// Streams the answer of a request that this entry knows, from piece `from`
+/// on.
 pub fn stream_record(
     state: &Shared,
     record: Arc<Record>,
     from: usize,
 ) -> Response {
-    let (send, pieces) = mpsc::channel(READ_AHEAD);
+    let (sender, pieces) = mpsc::channel(MAX_BUFFERED_PIECES);
     let id = record.id.clone();
     let state = state.clone();
     state.runtime.clone().spawn(async move {
-        // A reader that has gone away ends the task, not the request.
-        let _ = write_record(&state, &record, from, &send).await;
+        // If the caller disconnects, this task ends and the request goes on.
+        let _ = write_record(&state, &record, from, &sender).await;
     });
     event_stream(&id, pieces)
 }
 
-type Gone = mpsc::error::SendError<Piece>;
+type Disconnected = mpsc::error::SendError<Piece>;
 
 async fn write_record(
     state: &Shared,
     record: &Record,
     from: usize,
-    send: &mpsc::Sender<Piece>,
-) -> Result<(), Gone> {
+    sender: &mpsc::Sender<Piece>,
+) -> Result<(), Disconnected> {
     let mut changes = record.watch();
     let started_here = record.owner() == Owner::Here;
     let mut offset = from;
     loop {
         let view = record.view(offset);
         for text in &view.pieces {
-            let bytes = chunk(&record.id, &record.service, offset, text);
-            send.send(Piece::Data(bytes)).await?;
+            let bytes = chunk_event(&record.id, &record.service, offset, text);
+            sender.send(Piece::Data(bytes)).await?;
             offset += 1;
         }
-        let last = match view.outcome {
+        let final_event = match view.outcome {
             Outcome::Running => None,
-            Outcome::Finished => Some(done(offset)),
-            Outcome::Failed(text) => Some(failure(&text, Verdict::MayHaveRun)),
+            Outcome::Finished => Some(done_event(offset)),
+            Outcome::Failed(text) => {
+                Some(error_event(&text, Verdict::MayHaveRun))
+            }
         };
         let handed_over = started_here && record.owner() != Owner::Here;
-        let last = match (last, handed_over) {
-            (None, true) => Some(moved(state, offset)),
-            (last, _) => last,
+        let final_event = match (final_event, handed_over) {
+            (None, true) => Some(moved_event(state, offset)),
+            (final_event, _) => final_event,
         };
-        if let Some(bytes) = last {
-            send.send(Piece::Data(bytes)).await?;
-            return send.send(Piece::End).await;
+        if let Some(bytes) = final_event {
+            sender.send(Piece::Data(bytes)).await?;
+            return sender.send(Piece::End).await;
         }
         if view.pieces.is_empty() {
-            let _ = timeout(LOOK, changes.changed()).await;
+            let _ = timeout(OWNER_CHECK_INTERVAL, changes.changed()).await;
         }
     }
 }
 
-/// Streams a request that another entry knows, from a piece on.
+/// Streams the answer of a request that another entry knows, from piece `from`
+/// on.
 pub fn stream_remote(state: &Shared, id: String, from: usize) -> Response {
-    let (send, pieces) = mpsc::channel(READ_AHEAD);
+    let (sender, pieces) = mpsc::channel(MAX_BUFFERED_PIECES);
     let state = state.clone();
-    let name = id.clone();
+    let request_id = id.clone();
     state.runtime.clone().spawn(async move {
-        let _ = write_remote(&state, &name, from, &send).await;
+        let _ = write_remote(&state, &request_id, from, &sender).await;
     });
     event_stream(&id, pieces)
 }
 
-/// Reads a request from whichever entry has it, piece by piece.
+/// Fetches the pieces of a request from any entry that has them.
 async fn write_remote(
     state: &Shared,
     id: &str,
     from: usize,
-    send: &mpsc::Sender<Piece>,
-) -> Result<(), Gone> {
+    sender: &mpsc::Sender<Piece>,
+) -> Result<(), Disconnected> {
     let mut offset = from;
-    // While an owner dies and its buddy has not taken over, nobody may
-    // answer for a moment.
-    let mut silent_since = state.now();
+    // After the owner crashes, no entry may answer until its buddy has taken
+    // over.
+    let mut last_reply_at = state.now();
     loop {
         let Some(reply) = peers::fetch(state, id, offset).await else {
-            if state.now() > silent_since + UNKNOWN_MS {
+            if state.now() > last_reply_at + UNKNOWN_REQUEST_TIMEOUT_MS {
                 let text = "no entry knows the request any more";
-                let bytes = failure(text, Verdict::MayHaveRun);
-                send.send(Piece::Data(bytes)).await?;
-                return send.send(Piece::End).await;
+                let bytes = error_event(text, Verdict::MayHaveRun);
+                sender.send(Piece::Data(bytes)).await?;
+                return sender.send(Piece::End).await;
             }
-            sleep(ASK_AGAIN).await;
+            sleep(FETCH_RETRY_INTERVAL).await;
             continue;
         };
-        silent_since = state.now();
+        last_reply_at = state.now();
         for text in &reply.pieces {
-            let bytes = chunk(id, &reply.service, offset, text);
-            send.send(Piece::Data(bytes)).await?;
+            let bytes = chunk_event(id, &reply.service, offset, text);
+            sender.send(Piece::Data(bytes)).await?;
             offset += 1;
         }
-        let last = if reply.finished {
-            Some(done(offset))
+        let final_event = if reply.finished {
+            Some(done_event(offset))
         } else if !reply.failure.is_empty() {
-            Some(failure(&reply.failure, Verdict::MayHaveRun))
+            Some(error_event(&reply.failure, Verdict::MayHaveRun))
         } else {
             None
         };
-        if let Some(bytes) = last {
-            send.send(Piece::Data(bytes)).await?;
-            return send.send(Piece::End).await;
+        if let Some(bytes) = final_event {
+            sender.send(Piece::Data(bytes)).await?;
+            return sender.send(Piece::End).await;
         }
     }
 }
 
-/// Waits for the end of a request, for a caller that wants no pieces.
+/// Waits until a request has finished and returns the whole answer.
 ///
 /// # Errors
 ///
-/// When the request was given up on.
-pub async fn whole_record(
+/// Returns a refusal if the request failed.
+pub async fn wait_for_answer(
     state: &Shared,
     record: Arc<Record>,
 ) -> Result<Response, Refusal> {
     let mut changes = record.watch();
     loop {
         match record.view(0).outcome {
-            Outcome::Finished => return Ok(whole_answer(&record)),
+            Outcome::Finished => return Ok(record_response(&record)),
             Outcome::Failed(text) => {
                 return Err(Refusal {
                     status: StatusCode::GATEWAY_TIMEOUT,
@@ -204,15 +210,15 @@
             Outcome::Running => {}
         }
         if record.owner() != Owner::Here {
-            return whole_elsewhere(state, &record).await;
+            return wait_for_remote_answer(state, &record).await;
         }
-        let _ = timeout(LOOK, changes.changed()).await;
+        let _ = timeout(OWNER_CHECK_INTERVAL, changes.changed()).await;
     }
 }
 
-/// The caller asked for one answer, and the request has been handed over
-/// meanwhile: fetches the rest from the new owner.
-async fn whole_elsewhere(
+/// Fetches the rest of the answer from the new owner, after the request has
+/// been handed over, and returns the whole answer.
+async fn wait_for_remote_answer(
     state: &Shared,
     record: &Record,
 ) -> Result<Response, Refusal> {
@@ -220,13 +226,17 @@
     while state.now() < record.deadline {
         let fetched = peers::fetch(state, &record.id, pieces.len()).await;
         let Some(reply) = fetched else {
-            sleep(ASK_AGAIN).await;
+            sleep(FETCH_RETRY_INTERVAL).await;
             continue;
         };
         pieces.extend(reply.pieces);
         if reply.finished {
             let text = pieces.concat();
-            return Ok(whole_text(&record.id, &record.service, &text));
+            return Ok(completion_response(
+                &record.id,
+                &record.service,
+                &text,
+            ));
         }
         if !reply.failure.is_empty() {
             return Err(Refusal::doubtful(reply.failure));
@@ -235,11 +245,11 @@
     Err(Refusal::doubtful("its deadline has passed"))
 }
 
-fn whole_answer(record: &Record) -> Response {
-    whole_text(&record.id, &record.service, &record.text())
+fn record_response(record: &Record) -> Response {
+    completion_response(&record.id, &record.service, &record.text())
 }
 
-fn whole_text(id: &str, model: &str, text: &str) -> Response {
+fn completion_response(id: &str, model: &str, text: &str) -> Response {
     let body = json!({
         "id": id,
         "object": "chat.completion",
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -1,11 +1,14 @@
-//! What callers ask an entry: addresses, model calls, plain calls, answers.
+//! HTTP interface for callers.
+//!
+//! It serves the addresses of entries, model calls, plain calls and answers by
+//! key, and forwards the calls of endpoints to [`endpoints`].
 
 use bytes::Bytes;
 use http::{Method, StatusCode};
 use serde_json::json;
 
 use super::{
-    answers::{stream_record, stream_remote, whole_record},
+    answers::{stream_record, stream_remote, wait_for_answer},
     chat::Chat,
     endpoints, model, peers, plain,
     refusal::{Refusal, other_entries},
@@ -17,29 +20,29 @@
     http_server::{Request, Response},
 };
 
-/// Names the team.
+/// Header that names the team.
 const TEAM_HEADER: &str = "azuremount-team";
-/// Milliseconds that the caller is ready to wait.
+/// Header with the time that the caller waits for the answer, in ms.
 const DEADLINE_HEADER: &str = "azuremount-deadline-ms";
-/// Names the request.
+/// Header that names the request.
 const KEY_HEADER: &str = "idempotency-key";
-/// The longest key.
-const KEY_LIMIT: usize = 128;
-/// The longest deadline.
-const DEADLINE_LIMIT: u64 = 3_600_000;
+/// Maximum length of a key, in bytes.
+const MAX_KEY_BYTES: usize = 128;
+/// Maximum time until the deadline, in ms.
+const MAX_DEADLINE_MS: u64 = 3_600_000;
 
-/// Who asks, and what for.
+/// Caller and the properties of its request that the headers set.
 #[derive(Clone, Debug)]
 pub struct Caller {
-    /// A team of the configuration.
+    /// Name of a configured team.
     pub team: String,
-    /// By this entry's clock, in ms.
+    /// Deadline by this entry's clock, in ms.
     pub deadline: u64,
-    /// The caller's own name for the request.
+    /// Idempotency key that the caller chose.
     pub key: Option<String>,
 }
 
-/// Answers any request to an entry.
+/// Serves one HTTP request to an entry.
 pub async fn serve(state: Shared, request: Request) -> Response {
     let path = request.uri.path().to_owned();
     let result = route(&state, &path, request).await;
@@ -67,11 +70,11 @@
             chat(state, request).await
         }
         (&Method::GET, ["v1", "requests", key]) => {
-            reread(state, key, &request).await
+            read_answer(state, key, &request).await
         }
         (&Method::GET, ["v1", "explain", key]) => explain(state, key),
-        (&Method::POST, ["v1", "endpoints", what]) => {
-            endpoints::serve(state, what, &request).await
+        (&Method::POST, ["v1", "endpoints", operation]) => {
+            endpoints::serve(state, operation, &request).await
         }
         (_, ["v1", "services", service, rest @ ..]) => {
             let rest = rest.first().copied().unwrap_or("");
@@ -95,7 +98,8 @@
         false => StatusCode::SERVICE_UNAVAILABLE,
     };
     let config = state.board.config.read();
-    let revision = config.as_ref().as_ref().map_or(0, |known| known.revision);
+    let revision =
+        config.as_ref().as_ref().map_or(0, |in_force| in_force.revision);
     let body = json!({
         "entry": state.info.id,
         "data_centre": state.info.data_centre,
@@ -113,13 +117,13 @@
     Response::bytes(StatusCode::OK, kind, Bytes::from(text))
 }
 
-/// The addresses to use, this entry's first if it serves.
+/// Lists the addresses of serving entries, this entry's own address first.
 fn entries(state: &State) -> Response {
     let config = state.board.config.read();
     let keep_ms = config
         .as_ref()
         .as_ref()
-        .map_or(1000, |known| known.config.system.keep_entries_ms);
+        .map_or(1000, |in_force| in_force.config.system.keep_entries_ms);
     let mut addresses = Vec::new();
     if state.is_serving() {
         addresses.push(state.info.address.clone());
@@ -132,7 +136,7 @@
     response
 }
 
-/// Why a model request went where it went, as far as this entry knows.
+/// Returns the routing decisions for a model request that this entry knows.
 fn explain(state: &State, key: &str) -> Result<Response, Refusal> {
     let Some(record) = state.requests.get(key) else {
         let text = "this entry does not know the request";
@@ -160,8 +164,9 @@
     Ok(Response::json(StatusCode::OK, &body))
 }
 
-/// Checks what every request for a service has to say.
-fn admit_caller(
+/// Checks that this entry may accept the request, and that its service, team,
+/// deadline and key are valid.
+fn check_request(
     state: &State,
     request: &Request,
     service: &str,
@@ -176,54 +181,56 @@
         return Err(Refusal::later(text, 1));
     }
     let config = state.board.config.read();
-    let Some(known) = config.as_ref() else {
+    let Some(in_force) = config.as_ref() else {
         return Err(Refusal::later("there is no configuration yet", 1000));
     };
-    let bad = |text: String| Refusal::bad(StatusCode::BAD_REQUEST, text);
-    let Some(service) =
-        known.config.service(service).filter(|one| one.kind == kind)
+    let invalid = |text: String| Refusal::bad(StatusCode::BAD_REQUEST, text);
+    let Some(service) = in_force
+        .config
+        .service(service)
+        .filter(|service| service.kind == kind)
     else {
         let text = format!("no such service: {service:?}");
         return Err(Refusal::bad(StatusCode::NOT_FOUND, text));
     };
     let Some(team) = request.header(TEAM_HEADER) else {
-        return Err(bad(format!("the header {TEAM_HEADER} is missing")));
+        return Err(invalid(format!("the header {TEAM_HEADER} is missing")));
     };
-    if known.config.team(team).is_none() {
-        return Err(bad(format!("no such team: {team:?}")));
+    if in_force.config.team(team).is_none() {
+        return Err(invalid(format!("no such team: {team:?}")));
     }
-    let wait = match request.header(DEADLINE_HEADER) {
-        None => known.config.system.deadline_ms,
+    let wait_ms = match request.header(DEADLINE_HEADER) {
+        None => in_force.config.system.deadline_ms,
         Some(text) => text
             .parse()
             .ok()
-            .filter(|wait| (1..=DEADLINE_LIMIT).contains(wait))
+            .filter(|wait_ms| (1..=MAX_DEADLINE_MS).contains(wait_ms))
             .ok_or_else(|| {
-                bad(format!(
+                invalid(format!(
                     "{DEADLINE_HEADER} {text:?} is not from 1 to \
-                     {DEADLINE_LIMIT}"
+                     {MAX_DEADLINE_MS}"
                 ))
             })?,
     };
     let key = request.header(KEY_HEADER);
-    if key.is_some_and(|key| !is_key(key)) {
-        return Err(bad(format!(
-            "{KEY_HEADER} must have 1 to {KEY_LIMIT} letters, digits, \
+    if key.is_some_and(|key| !is_valid_key(key)) {
+        return Err(invalid(format!(
+            "{KEY_HEADER} must have 1 to {MAX_KEY_BYTES} letters, digits, \
              dots, dashes or underscores"
         )));
     }
     let caller = Caller {
         team: team.to_owned(),
-        deadline: state.now() + wait,
+        deadline: state.now() + wait_ms,
         key: key.map(str::to_owned),
     };
     Ok((caller, service.clone()))
 }
 
-fn is_key(key: &str) -> bool {
+fn is_valid_key(key: &str) -> bool {
     let allowed =
         |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
-    (1..=KEY_LIMIT).contains(&key.len()) && key.bytes().all(allowed)
+    (1..=MAX_KEY_BYTES).contains(&key.len()) && key.bytes().all(allowed)
 }
 
 async fn plain_call(
@@ -233,7 +240,7 @@
     request: Request,
 ) -> Result<Response, Refusal> {
     let (caller, service) =
-        admit_caller(state, &request, service, Kind::Plain)?;
+        check_request(state, &request, service, Kind::Plain)?;
     plain::serve(state, caller, &service, path, request).await
 }
 
@@ -241,9 +248,10 @@
     let chat = Chat::parse(&request.body)
         .map_err(|text| Refusal::bad(StatusCode::BAD_REQUEST, text))?;
     let (caller, service) =
-        admit_caller(state, &request, &chat.model, Kind::Model)?;
+        check_request(state, &request, &chat.model, Kind::Model)?;
     let body = request.body.clone();
-    // Apart from the caller's connection, as for plain calls.
+    // Accepting runs in its own task, as for plain calls, so that it goes on
+    // if the caller disconnects.
     let task = {
         let (state, chat) = (state.clone(), chat.clone());
         state.runtime.clone().spawn(async move {
@@ -257,12 +265,12 @@
     if chat.stream {
         Ok(stream_record(state, record, 0))
     } else {
-        whole_record(state, record).await
+        wait_for_answer(state, record).await
     }
 }
 
-/// Answers `GET /v1/requests/{key}`, on whichever entry it comes in.
-async fn reread(
+/// Answers `GET /v1/requests/{key}`. Any entry can serve it.
+async fn read_answer(
     state: &Shared,
     key: &str,
     request: &Request,
@@ -274,7 +282,7 @@
             Refusal::bad(StatusCode::BAD_REQUEST, text)
         })?,
     };
-    if !is_key(key) {
+    if !is_valid_key(key) {
         let text = "that is not a key";
         return Err(Refusal::bad(StatusCode::BAD_REQUEST, text));
     }
