--- a/src/entry/chat.rs
+++ b/src/entry/chat.rs
@@ -1,31 +1,31 @@
-//! Chat requests: what is checked of them, and what routing needs to know.
+//! Parses and checks chat requests, and extracts what routing needs.
 
 use serde_json::Value;
 
-/// Tokens of answer when the request does not bound them.
-const DEFAULT_TOKENS: u64 = 512;
+/// Maximum number of answer tokens if the request sets none.
+const DEFAULT_MAX_TOKENS: u64 = 512;
 
 /// A checked chat request.
 #[derive(Clone, Debug)]
 pub struct Chat {
-    /// The model's service.
+    /// Name of the service that runs the model.
     pub model: String,
-    /// Whether the caller wants pieces.
+    /// Whether the caller wants the answer streamed in pieces.
     pub stream: bool,
-    /// Pieces of answer at most.
+    /// Maximum number of pieces in the answer.
     pub most: u64,
-    /// What the model reads.
+    /// Prompt, made of the roles and contents of all messages.
     pub prompt: String,
-    /// As the caller sent it.
+    /// Body as the caller sent it.
     pub body: Value,
 }
 
 impl Chat {
-    /// Reads a request's body.
+    /// Parses and checks the body of a request.
     ///
     /// # Errors
     ///
-    /// A sentence that names the field and what it should be.
+    /// Returns a sentence that names the invalid field and the valid values.
     pub fn parse(body: &[u8]) -> Result<Chat, String> {
         let value: Value = serde_json::from_slice(body)
             .map_err(|error| format!("the body is not JSON: {error}"))?;
@@ -54,7 +54,7 @@
             _ => return Err("stream must be true or false".to_owned()),
         };
         let most = match &value["max_tokens"] {
-            Value::Null => DEFAULT_TOKENS,
+            Value::Null => DEFAULT_MAX_TOKENS,
             Value::Number(number) => number
                 .as_u64()
                 .filter(|most| (1..=1_000_000).contains(most))
@@ -64,7 +64,7 @@
         Ok(Chat { model, stream, most, prompt, body: value })
     }
 
-    /// About how many tokens the prompt has.
+    /// Estimates the number of tokens in the prompt, at four bytes per token.
     pub fn prompt_tokens(&self) -> u32 {
         (self.prompt.len() / 4) as u32
     }
