--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -1,4 +1,5 @@
-//! Claims in control's ledger: the only word on whether a call may be sent.
+//! Claims in control's ledger. Only the ledger decides whether an entry may
+//! send a call that must not run twice.
 
 use std::time::Duration;
 
@@ -13,42 +14,43 @@
     },
 };
 
-/// How long a claim may take.
-const CLAIM_LIMIT: Duration = Duration::from_millis(1500);
-/// How long settling is tried in the background.
-const SETTLE_LIMIT: Duration = Duration::from_secs(60);
+/// Time limit for a claim or for reading one.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Time limit for committing a settlement in the background.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Takes a key for one dispatch.
+/// Claims a key for one dispatch.
 ///
 /// # Errors
 ///
-/// When control did not answer; the request was not sent all the same.
+/// Returns a refusal if control does not answer. The request has not been sent
+/// in that case.
 pub async fn propose_claim(
     state: &Shared,
     claim: Claim,
 ) -> Result<ClaimOutcome, Refusal> {
     let change = Change::new(change::Kind::Claim(claim));
-    match state.control.propose(change, CLAIM_LIMIT, true).await {
+    match state.control.propose(change, CLAIM_TIMEOUT, true).await {
         Ok(outcome) => match outcome.kind {
             Some(outcome::Kind::Claim(claim)) => Ok(claim),
             _ => Err(Refusal::later("control gave no answer", 500)),
         },
-        // Whatever became of the claim: the request itself was not sent.
+        // The claim may have been committed, but the request was not sent.
         Err(failure) => Err(Refusal::later(failure.to_string(), 500)),
     }
 }
 
-/// Reads through the quorum what is known of a key.
+/// Reads the claim on a key through the quorum.
 ///
 /// # Errors
 ///
-/// When control did not answer.
+/// Returns a refusal if control does not answer.
 pub async fn look_up(
     state: &Shared,
     key: &str,
 ) -> Result<ClaimOutcome, Refusal> {
     let query = Query { kind: Some(query::Kind::Claim(key.to_owned())) };
-    let reply = state.control.read(query, CLAIM_LIMIT).await;
+    let reply = state.control.read(query, CLAIM_TIMEOUT).await;
     match reply.map(|reply| reply.kind) {
         Ok(Some(query_reply::Kind::Claim(outcome))) => Ok(outcome),
         _ => {
@@ -59,7 +61,7 @@
     }
 }
 
-/// Gives a key back: the request was never sent.
+/// Returns a settlement that frees the key of a request that was never sent.
 pub fn release(key: &str, owner: &str) -> Settle {
     Settle {
         key: key.to_owned(),
@@ -69,7 +71,7 @@
     }
 }
 
-/// Records what became of a request.
+/// Returns a settlement that records the answer to a request.
 pub fn settlement(key: &str, owner: &str, answer: wire::Answer) -> Settle {
     Settle {
         key: key.to_owned(),
@@ -79,16 +81,18 @@
     }
 }
 
-/// Puts a settlement through the log, however long control is away.
+/// Commits a settlement through control's log. Retries for 60 s while control
+/// is unavailable.
 pub async fn settle(state: &Shared, settle: Settle) {
     let change = Change::new(change::Kind::Settle(settle));
-    let settled = state.control.propose(change, SETTLE_LIMIT, true).await;
+    let settled = state.control.propose(change, SETTLE_TIMEOUT, true).await;
     if let Err(failure) = settled {
-        warn!(target: "plain", "Not settled: {failure}.");
+        warn!(target: "plain", "Settlement not committed: {failure}.");
     }
 }
 
-/// Settles, in the background once `limit` is over; true if done by then.
+/// Commits a settlement and waits for it for at most `limit`, then goes on in
+/// the background. Returns whether settling has ended by then.
 pub async fn settle_within(
     state: &Shared,
     settlement: Settle,
@@ -101,13 +105,14 @@
     tokio::time::timeout(limit, task).await.is_ok()
 }
 
-/// The state in an outcome; what is unknown to this version counts as that.
+/// Returns the state in an outcome. A state that this version does not know
+/// counts as `Unknown`.
 pub fn claim_state(outcome: &ClaimOutcome) -> claim_outcome::State {
     claim_outcome::State::try_from(outcome.state)
         .unwrap_or(claim_outcome::State::Unknown)
 }
 
-/// True while the entry that holds a claim is listed by control.
+/// Whether control still lists the incarnation of the entry that owns a claim.
 pub fn owner_lives(state: &Shared, owner: &str) -> bool {
     let mut parts = owner.split('/');
     let (id, incarnation) = (parts.next(), parts.next());
