--- a/src/entry/refusal.rs
+++ b/src/entry/refusal.rs
@@ -1,4 +1,5 @@
-//! Answers other than success: a verdict, when to come back, where to go.
+//! Refusals: answers other than success. A refusal carries a verdict and, if a
+//! retry is worthwhile, a delay and the addresses of other entries.
 
 use http::StatusCode;
 use serde_json::json;
@@ -6,21 +7,21 @@
 use super::state::State;
 use crate::{http_server::Response, metrics::Outcome, verdict::Verdict};
 
-/// A final answer that is not the one hoped for. Goes out at once.
+/// Final answer to a request that did not succeed. It is sent at once.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Refusal {
-    /// The HTTP status.
+    /// HTTP status of the answer.
     pub status: StatusCode,
     /// Whether the request may have run.
     pub verdict: Verdict,
-    /// One sentence for people.
+    /// Human-readable sentence.
     pub text: String,
-    /// When to come back, if that makes sense at all.
+    /// Delay before a retry, in ms, or `None` if a retry is not worthwhile.
     pub retry_after_ms: Option<u64>,
 }
 
 impl Refusal {
-    /// A request that is wrong in itself; it was not run.
+    /// Refuses a request that is invalid in itself and was not run.
     pub fn bad(status: StatusCode, text: impl Into<String>) -> Refusal {
         Refusal {
             status,
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Not now: it was not run, and may be sent again.
+    /// Refuses a request that was not run and may be retried after `after_ms`.
     pub fn later(text: impl Into<String>, after_ms: u64) -> Refusal {
         Refusal {
             status: StatusCode::SERVICE_UNAVAILABLE,
@@ -40,7 +41,7 @@
         }
     }
 
-    /// It was sent, and what became of it is unknown.
+    /// Refuses a request that was sent and whose result is unknown.
     pub fn doubtful(text: impl Into<String>) -> Refusal {
         Refusal {
             status: StatusCode::BAD_GATEWAY,
@@ -50,7 +51,10 @@
         }
     }
 
-    /// The answer, with the addresses of other entries where they may help.
+    /// Returns the HTTP response, and counts the outcome in the metrics.
+    ///
+    /// The response lists the addresses of other entries if a retry is
+    /// worthwhile.
     pub fn respond(&self, state: &State) -> Response {
         let entries: Vec<String> = match self.retry_after_ms {
             Some(_) => other_entries(state),
@@ -65,29 +69,30 @@
             "error": self.text,
             "verdict": self.verdict.as_str(),
         });
-        if let Some(after) = self.retry_after_ms {
-            body["retry_after_ms"] = json!(after);
+        if let Some(after_ms) = self.retry_after_ms {
+            body["retry_after_ms"] = json!(after_ms);
             body["entries"] = json!(entries);
         }
         let mut response = Response::json(self.status, &body);
         response.set(Verdict::HEADER, self.verdict.as_str());
-        if let Some(after) = self.retry_after_ms {
-            // The header counts whole seconds; the body is exact.
-            let seconds = after.div_ceil(1000);
+        if let Some(after_ms) = self.retry_after_ms {
+            // The header is in whole seconds, the body in ms.
+            let seconds = after_ms.div_ceil(1000);
             response.set("retry-after", &seconds.to_string());
         }
         response
     }
 }
 
-/// Addresses of other entries that take requests, near ones first.
+/// Returns the addresses of the other serving entries, those in the same data
+/// centre first.
 pub fn other_entries(state: &State) -> Vec<String> {
     let entries = state.board.entries.read();
     let mut others: Vec<_> = entries
         .iter()
         .filter(|entry| entry.serving && entry.id != state.info.id)
         .collect();
-    let near = &state.info.data_centre;
-    others.sort_by_key(|entry| entry.data_centre != *near);
+    let local_data_centre = &state.info.data_centre;
+    others.sort_by_key(|entry| entry.data_centre != *local_data_centre);
     others.iter().map(|entry| entry.address.clone()).collect()
 }
