--- a/src/entry/dispatch.rs
+++ b/src/entry/dispatch.rs
@@ -1,19 +1,20 @@
-//! Connections to endpoints, and one call over them.
+//! Sends calls to endpoints over HTTP connections.
 //!
-//! [`Dispatcher::exchange`] and [`Dispatcher::open_raw`] hand back whatever the
-//! other side says. The rest take it at its word when it says that it did not
-//! run a request, and make that a failure.
+//! [`Dispatcher::exchange`] and [`Dispatcher::open_raw`] return every response
+//! as it is. The other methods that send a call return an error if the verdict
+//! header of the response says that the endpoint did not run the request.
 //!
-//! [`Dispatcher::once`] is for calls that must not run twice. It makes a
-//! connection of its own and counts two steps apart: until the connection
-//! stands nothing was sent, and a failure is "not run"; from the first byte
-//! on, anything but an answer is "may have run". A pooled connection blurs
-//! that line, because the client library may send a request again by itself.
+//! [`Dispatcher::once`] is for calls that must not run twice. It opens a new
+//! connection for each call and distinguishes two phases. Until the connection
+//! is established nothing has been sent, so a failure is "not run". From the
+//! first byte on, everything except an answer is "may have run". A pooled
+//! connection can't separate the two phases, because the client library may
+//! resend a request by itself.
 //!
-//! [`Dispatcher::open`] and [`Dispatcher::repeatable`] are for calls that may
-//! be repeated, and use pooled connections. A pooled connection can have gone
-//! silent for good without anybody noticing; so an attempt after a failed one
-//! asks for a fresh connection.
+//! [`Dispatcher::open_answer`] and [`Dispatcher::repeatable`] are for calls
+//! that may be repeated, and use pooled connections. A pooled connection can
+//! have been silently dead for some time. An attempt after a failed one
+//! therefore asks for a new connection.
 
 use std::{io::ErrorKind, net::SocketAddr, time::Duration};
 
@@ -29,21 +30,22 @@
 
 use crate::verdict::Verdict;
 
-/// How long a new connection may take.
-pub const CONNECT_LIMIT: Duration = Duration::from_millis(500);
-/// The longest answer of a plain call, in bytes.
-pub const ANSWER_LIMIT: usize = 4 * 1024 * 1024;
-/// In an endpoint's answer: it did not run the request.
-pub const REFUSED_HEADER: &str = "azuremount-verdict";
-/// In an endpoint's answer: requests running and waiting there.
+/// Time limit for establishing a connection.
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum length of a whole answer, in bytes.
+pub const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
+/// Response header by which an endpoint says that it did not run the request.
+pub const VERDICT_HEADER: &str = "azuremount-verdict";
+/// Response header with the number of requests running and waiting at the
+/// endpoint.
 pub const LOAD_HEADER: &str = "azuremount-load";
 
 /// A call that an endpoint did not answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failed {
-    /// Whether the endpoint may have run it.
+    /// Whether the endpoint may have run the request.
     pub verdict: Verdict,
-    /// What went wrong.
+    /// Description of the failure.
     pub text: String,
 }
 
@@ -52,7 +54,7 @@
         Failed { verdict: Verdict::NotRun, text: text.to_string() }
     }
 
-    fn doubtful(text: impl ToString) -> Failed {
+    fn may_have_run(text: impl ToString) -> Failed {
         Failed { verdict: Verdict::MayHaveRun, text: text.to_string() }
     }
 }
@@ -60,80 +62,86 @@
 /// A call to an endpoint.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Where.
+    /// Address of the endpoint.
     pub address: SocketAddr,
-    /// How.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// Sent as they are; connection headers must not be among them.
+    /// Headers, sent unchanged. They must not contain connection headers.
     pub headers: HeaderMap,
-    /// What.
+    /// Body of the request.
     pub body: Bytes,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// The endpoint's status.
+    /// HTTP status of the answer.
     pub status: StatusCode,
-    /// The endpoint's headers.
+    /// Headers of the answer.
     pub headers: HeaderMap,
-    /// All of the body.
+    /// Complete body of the answer.
     pub body: Bytes,
 }
 
-/// Makes calls to endpoints.
+/// Sends calls to endpoints.
 #[derive(Debug)]
 pub struct Dispatcher {
     pool: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl Dispatcher {
-    /// Starts without connections.
+    /// Creates a dispatcher without connections.
     pub fn open() -> Dispatcher {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(CONNECT_LIMIT));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         let pool = Client::builder(TokioExecutor::new())
-            // Long enough to be of use, short enough that something in
-            // between seldom has forgotten the connection.
+            // Long enough that connections are reused. Short enough that a
+            // device on the path has seldom dropped the connection's state.
             .pool_idle_timeout(Duration::from_secs(5))
             .pool_max_idle_per_host(64)
             .build(connector);
         Dispatcher { pool }
     }
 
-    /// Sends a call exactly once, and waits for the whole answer.
+    /// Sends a call exactly once, on a new connection, and waits for the
+    /// complete answer.
     ///
     /// # Errors
     ///
-    /// "Not run" when no connection could be made; "may have run" for all
-    /// else, silence for `silence` among it.
+    /// The verdict is "not run" if no connection could be established, and
+    /// "may have run" for all other failures. Waiting longer than
+    /// `silence_timeout` for the answer's head or for its body is a failure.
     pub async fn exchange(
         &self,
         call: Call,
-        silence: Duration,
+        silence_timeout: Duration,
     ) -> Result<Answer, Failed> {
-        let response = send_fresh(&call, silence).await?;
-        whole(response, silence).await
+        let response = send_on_new_connection(&call, silence_timeout).await?;
+        read_answer(response, silence_timeout).await
     }
 
-    /// As [`Dispatcher::exchange`], for the endpoint of a request.
+    /// Sends a call as [`Dispatcher::exchange`] does, and checks the verdict
+    /// header of the response.
     ///
     /// # Errors
     ///
-    /// "Not run" also when the endpoint says so.
+    /// As [`Dispatcher::exchange`]. The verdict is also "not run" if the
+    /// endpoint's response says so.
     pub async fn once(
         &self,
         call: Call,
-        silence: Duration,
+        silence_timeout: Duration,
     ) -> Result<Answer, Failed> {
-        let response = accepted(send_fresh(&call, silence).await?)?;
-        whole(response, silence).await
+        let response = check_verdict(
+            send_on_new_connection(&call, silence_timeout).await?,
+        )?;
+        read_answer(response, silence_timeout).await
     }
 
-    /// Sends a call that may be repeated, and waits for the whole answer.
+    /// Sends a call that may be repeated, and waits for the complete answer.
     ///
     /// # Errors
     ///
@@ -141,11 +149,12 @@
     pub async fn repeatable(
         &self,
         call: Call,
-        silence: Duration,
-        fresh: bool,
+        silence_timeout: Duration,
+        new_connection: bool,
     ) -> Result<Answer, Failed> {
-        let response = self.open_answer(call, silence, fresh).await?;
-        whole(response, silence).await
+        let response =
+            self.open_answer(call, silence_timeout, new_connection).await?;
+        read_answer(response, silence_timeout).await
     }
 
     /// Sends a call that may be repeated, and waits for the answer's head.
@@ -156,28 +165,32 @@
     pub async fn open_answer(
         &self,
         call: Call,
-        silence: Duration,
-        fresh: bool,
+        silence_timeout: Duration,
+        new_connection: bool,
     ) -> Result<Response<Incoming>, Failed> {
-        if fresh {
-            return accepted(send_fresh(&call, silence).await?);
+        if new_connection {
+            return check_verdict(
+                send_on_new_connection(&call, silence_timeout).await?,
+            );
         }
         let request = encode(&call, true).map_err(Failed::not_run)?;
-        match timeout(silence, self.pool.request(request)).await {
-            Ok(Ok(response)) => accepted(response),
+        match timeout(silence_timeout, self.pool.request(request)).await {
+            Ok(Ok(response)) => check_verdict(response),
             Ok(Err(error)) if error.is_connect() => {
                 Err(Failed::not_run(error))
             }
-            Ok(Err(error)) => Err(Failed::doubtful(error)),
-            Err(_) => Err(Failed::doubtful("no answer in time")),
+            Ok(Err(error)) => Err(Failed::may_have_run(error)),
+            Err(_) => Err(Failed::may_have_run("no answer in time")),
         }
     }
 
-    /// Whether nobody listens at an address any more.
+    /// Whether an address refuses connections, because no process listens
+    /// there.
     ///
-    /// False as well where that can't be told, as behind a cut.
+    /// Returns false if that can't be determined, for instance during a
+    /// network partition.
     pub async fn has_ended(&self, address: SocketAddr) -> bool {
-        let connected = timeout(CONNECT_LIMIT, TcpStream::connect(address));
+        let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
         match connected.await {
             Ok(Err(error)) => error.kind() == ErrorKind::ConnectionRefused,
             Ok(Ok(_)) | Err(_) => false,
@@ -192,31 +205,31 @@
     pub async fn open_raw(
         &self,
         call: Call,
-        silence: Duration,
+        silence_timeout: Duration,
     ) -> Result<Response<Incoming>, Failed> {
-        send_fresh(&call, silence).await
+        send_on_new_connection(&call, silence_timeout).await
     }
 }
 
 type Sender = hyper::client::conn::http1::SendRequest<Full<Bytes>>;
 
-/// Sends a call on a connection of its own, and waits for the answer's head.
-async fn send_fresh(
+/// Sends a call on a new connection, and waits for the answer's head.
+async fn send_on_new_connection(
     call: &Call,
-    silence: Duration,
+    silence_timeout: Duration,
 ) -> Result<Response<Incoming>, Failed> {
-    let connected = timeout(CONNECT_LIMIT, connect(call.address)).await;
+    let connected = timeout(CONNECT_TIMEOUT, connect(call.address)).await;
     let mut sender = match connected {
         Ok(Ok(sender)) => sender,
         Ok(Err(text)) => return Err(Failed::not_run(text)),
         Err(_) => return Err(Failed::not_run("connecting timed out")),
     };
     let request = encode(call, false).map_err(Failed::not_run)?;
-    // From here on the request may be at the endpoint.
-    match timeout(silence, sender.send_request(request)).await {
+    // From here on the endpoint may have received the request.
+    match timeout(silence_timeout, sender.send_request(request)).await {
         Ok(Ok(response)) => Ok(response),
-        Ok(Err(error)) => Err(Failed::doubtful(error)),
-        Err(_) => Err(Failed::doubtful("no answer in time")),
+        Ok(Err(error)) => Err(Failed::may_have_run(error)),
+        Err(_) => Err(Failed::may_have_run("no answer in time")),
     }
 }
 
@@ -230,7 +243,7 @@
             .await
             .map_err(|error| error.to_string())?;
     tokio::spawn(async move {
-        // Its error reaches the caller through the request.
+        // The request itself returns the connection's error to the caller.
         let _ = connection.await;
     });
     Ok(sender)
@@ -254,13 +267,13 @@
     Ok(request)
 }
 
-/// Takes an endpoint at its word when it says that it did not run a request.
-fn accepted(
+/// Returns an error if the endpoint says that it did not run the request.
+fn check_verdict(
     response: Response<Incoming>,
 ) -> Result<Response<Incoming>, Failed> {
     let refused = response
         .headers()
-        .get(REFUSED_HEADER)
+        .get(VERDICT_HEADER)
         .is_some_and(|value| value == Verdict::NotRun.as_str());
     if refused {
         let status = response.status();
@@ -269,20 +282,20 @@
     Ok(response)
 }
 
-async fn whole(
+async fn read_answer(
     response: Response<Incoming>,
-    silence: Duration,
+    silence_timeout: Duration,
 ) -> Result<Answer, Failed> {
     let (head, body) = response.into_parts();
-    let body = Limited::new(body, ANSWER_LIMIT).collect();
-    match timeout(silence, body).await {
+    let body = Limited::new(body, MAX_ANSWER_BYTES).collect();
+    match timeout(silence_timeout, body).await {
         Ok(Ok(body)) => Ok(Answer {
             status: head.status,
             headers: head.headers,
             body: body.to_bytes(),
         }),
-        // A part of an answer is none: the caller would take it for whole.
-        Ok(Err(error)) => Err(Failed::doubtful(error)),
-        Err(_) => Err(Failed::doubtful("the answer stalled")),
+        // A partial answer is an error. The caller would take it for complete.
+        Ok(Err(error)) => Err(Failed::may_have_run(error)),
+        Err(_) => Err(Failed::may_have_run("the answer stalled")),
     }
 }
