--- a/src/entry/endpoints.rs
+++ b/src/entry/endpoints.rs
@@ -1,17 +1,19 @@
-//! What endpoints tell an entry: that they are here, how busy, that they go.
+//! HTTP interface for endpoints: announcements, heartbeats, leave notices and
+//! cache events.
 //!
-//! Endpoints come by themselves; nothing lists them. One announces itself at
-//! any entry, then sends heartbeats there or at another one. Announcing and
-//! leaving are put through the log, so that every entry learns of them, a new
-//! leader too; heartbeats only keep the lease alive.
+//! Endpoints register themselves; no configuration lists them. An endpoint
+//! announces itself at any entry and then sends heartbeats to that entry or to
+//! another one. Announcements and leave notices are committed to control's
+//! log, so that every entry and every new leader receives them. Heartbeats
+//! only renew the endpoint's lease.
 //!
 //! # Orders
 //!
-//! An order to an endpoint rides on the answer to the endpoint's own
-//! heartbeat. That fences engines that ignore fencing numbers: a control
-//! leader that was replaced can't commit an order, an entry that was cut off
-//! answers no heartbeat, and an answer that was held up in a frozen process
-//! comes on a connection that the endpoint has given up.
+//! An entry sends an order to an endpoint only in its answer to the endpoint's
+//! own heartbeat. This fences engines that ignore fencing numbers. A control
+//! leader that has been replaced can't commit an order. An entry that is cut
+//! off from control answers no heartbeat. An answer that was delayed in a
+//! frozen process arrives on a connection that the endpoint has abandoned.
 
 use std::{sync::Mutex, time::Duration};
 
@@ -35,12 +37,13 @@
     },
 };
 
-/// How often an endpoint should send a heartbeat, in ms.
-const HEARTBEAT_MS: u64 = 1000;
-/// How long control may take for an announcement or a leave.
-const COMMIT_LIMIT: Duration = Duration::from_millis(1500);
+/// Interval at which an endpoint should send heartbeats, in ms.
+const HEARTBEAT_INTERVAL_MS: u64 = 1000;
+/// Time limit for committing an announcement or a leave notice.
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// The heartbeats since the last sync: when each came, and its load.
+/// Heartbeats since the last sync, at most one for each endpoint: the time at
+/// which it arrived, and its load.
 #[derive(Debug, Default)]
 pub struct Renewals(Mutex<Vec<(u64, Load)>>);
 
@@ -56,7 +59,7 @@
     class: String,
     #[serde(default)]
     reclaimable: bool,
-    /// `checked` or `ignored`.
+    /// Whether the endpoint checks fencing numbers: `checked` or `ignored`.
     fencing: Fencing,
     #[serde(default)]
     slots: u32,
@@ -102,22 +105,23 @@
     evicted: Vec<String>,
 }
 
-/// The key of a departed endpoint's record.
+/// Returns the id of a record's endpoint, the key of the list of departed
+/// endpoints.
 pub fn record_id(record: &EndpointRecord) -> &str {
     record.endpoint.as_ref().map_or("", |endpoint| &endpoint.id)
 }
 
-/// Answers `POST /v1/endpoints/{what}`.
+/// Answers `POST /v1/endpoints/{operation}`.
 pub async fn serve(
     state: &Shared,
-    what: &str,
+    operation: &str,
     request: &Request,
 ) -> Result<Response, Refusal> {
-    match what {
-        "announce" => announce(state, parse(&request.body)?).await,
-        "heartbeat" => heartbeat(state, parse(&request.body)?),
-        "leave" => leave(state, parse(&request.body)?).await,
-        "cache" => cache(state, parse(&request.body)?),
+    match operation {
+        "announce" => announce(state, parse_body(&request.body)?).await,
+        "heartbeat" => heartbeat(state, parse_body(&request.body)?),
+        "leave" => leave(state, parse_body(&request.body)?).await,
+        "cache" => cache(state, parse_body(&request.body)?),
         _ => Err(Refusal::bad(
             StatusCode::NOT_FOUND,
             "endpoints have announce, heartbeat, leave and cache",
@@ -125,7 +129,8 @@
     }
 }
 
-/// The leases to renew with the next sync.
+/// Takes the heartbeats that renew leases with the next sync, and adds the
+/// time since their arrival to their age.
 pub fn renewed(state: &Shared) -> Vec<Load> {
     let now = state.now();
     let mut renewals =
@@ -157,11 +162,11 @@
     check_endpoint(state, &endpoint)?;
     let announce = Announce { endpoint: Some(endpoint.clone()) };
     let kind = change::Kind::Announce(announce);
-    let result = commit(state, kind).await?;
+    let result = commit_change(state, kind).await?;
     if result == endpoint_outcome::Result::Departed as i32 {
-        return Err(gone());
+        return Err(departed_refusal());
     }
-    note_renewal(
+    record_heartbeat(
         state,
         Load {
             endpoint: endpoint.id,
@@ -169,26 +174,26 @@
             ..Load::default()
         },
     );
-    Ok(lease_answer(Vec::new()))
+    Ok(lease_response(Vec::new()))
 }
 
 fn check_endpoint(state: &Shared, endpoint: &Endpoint) -> Result<(), Refusal> {
     let config = state.board.config.read();
-    let Some(known) = config.as_ref() else {
+    let Some(in_force) = config.as_ref() else {
         let text = "there is no configuration yet";
         return Err(Refusal::later(text, 1000));
     };
-    let bad = |text: String| Refusal::bad(StatusCode::BAD_REQUEST, text);
+    let invalid = |text: String| Refusal::bad(StatusCode::BAD_REQUEST, text);
     if endpoint.id.is_empty() || endpoint.id.len() > 128 {
-        return Err(bad("id must have 1 to 128 bytes".to_owned()));
+        return Err(invalid("id must have 1 to 128 bytes".to_owned()));
     }
-    if known.config.service(&endpoint.service).is_none() {
-        return Err(bad(format!("no service {:?}", endpoint.service)));
+    if in_force.config.service(&endpoint.service).is_none() {
+        return Err(invalid(format!("no service {:?}", endpoint.service)));
     }
     let data_centre = &endpoint.data_centre;
-    let mut data_centres = known.config.data_centres.iter();
-    if !data_centres.any(|one| one.name == *data_centre) {
-        return Err(bad(format!("no data centre {data_centre:?}")));
+    let mut data_centres = in_force.config.data_centres.iter();
+    if !data_centres.any(|configured| configured.name == *data_centre) {
+        return Err(invalid(format!("no data centre {data_centre:?}")));
     }
     Ok(())
 }
@@ -197,17 +202,17 @@
     state: &Shared,
     body: HeartbeatBody,
 ) -> Result<Response, Refusal> {
-    // Without a lease this entry can't know whether the endpoint has left,
-    // nor pass the heartbeat on: the endpoint has to go elsewhere.
+    // Without a lease this entry can't know whether the endpoint has left and
+    // can't forward the heartbeat. The endpoint has to use another entry.
     require_lease(state)?;
     if has_left(state, &body.id, body.incarnation) {
-        return Err(gone());
+        return Err(departed_refusal());
     }
     let service = state
         .fleet()
         .endpoint(&body.id)
-        .filter(|live| live.incarnation == body.incarnation)
-        .map(|live| live.service.clone());
+        .filter(|endpoint| endpoint.incarnation == body.incarnation)
+        .map(|endpoint| endpoint.service.clone());
     let Some(service) = service else {
         return Err(Refusal::bad(
             StatusCode::NOT_FOUND,
@@ -215,23 +220,23 @@
         ));
     };
     let config = state.board.config.read();
-    let lag_ms = config
+    let report_delay_ms = config
         .as_ref()
         .as_ref()
-        .and_then(|known| known.config.service(&service))
+        .and_then(|in_force| in_force.config.service(&service))
         .map_or(0, |service| service.report_lag_ms);
-    note_renewal(
+    record_heartbeat(
         state,
         Load {
             endpoint: body.id.clone(),
             incarnation: body.incarnation,
             running: body.running,
             waiting: body.waiting,
-            age_ms: lag_ms as u32,
+            age_ms: report_delay_ms as u32,
         },
     );
     let orders = state.board.orders.read();
-    let due = orders
+    let pending = orders
         .iter()
         .filter(|record| record.sequence > body.order_done)
         .filter(|record| {
@@ -242,7 +247,7 @@
         })
         .map(order_json)
         .collect();
-    Ok(lease_answer(due))
+    Ok(lease_response(pending))
 }
 
 fn order_json(record: &OrderRecord) -> Value {
@@ -257,15 +262,18 @@
 }
 
 async fn leave(state: &Shared, body: LeaveBody) -> Result<Response, Refusal> {
-    info!(target: "endpoints", "{} leaves.", body.id);
+    info!(
+        target: "endpoints",
+        "Endpoint {} announced that it leaves.", body.id
+    );
     let depart = Depart {
         id: body.id,
         incarnation: body.incarnation,
         leaving: true,
         within_ms: body.within_ms,
     };
-    mark_left(state, &depart);
-    let result = commit(state, change::Kind::Depart(depart)).await?;
+    apply_leave_notice(state, &depart);
+    let result = commit_change(state, change::Kind::Depart(depart)).await?;
     if result == endpoint_outcome::Result::Unknown as i32 {
         let text = "no such endpoint and incarnation";
         return Err(Refusal::bad(StatusCode::NOT_FOUND, text));
@@ -273,14 +281,14 @@
     Ok(Response::json(StatusCode::OK, &json!({ "left": true })))
 }
 
-/// Acts on a notice here, before it has been committed.
-fn mark_left(state: &Shared, depart: &Depart) {
+/// Applies a leave notice on this entry before it has been committed.
+fn apply_leave_notice(state: &Shared, depart: &Depart) {
     let config = state.board.config.read();
-    let config = config.as_ref().as_ref().map(|known| &known.config);
+    let config = config.as_ref().as_ref().map(|in_force| &in_force.config);
     let mut fleet = state.fleet();
     let endpoint = fleet
         .endpoint(&depart.id)
-        .filter(|live| live.incarnation == depart.incarnation)
+        .filter(|endpoint| endpoint.incarnation == depart.incarnation)
         .cloned();
     let Some(endpoint) = endpoint else { return };
     fleet.leave(&depart.id, depart.incarnation, config);
@@ -298,14 +306,16 @@
 }
 
 fn cache(state: &Shared, body: CacheBody) -> Result<Response, Refusal> {
-    let read = |texts: &[String]| -> Vec<u64> {
+    let parse_hashes = |texts: &[String]| -> Vec<u64> {
         let parsed =
             texts.iter().filter_map(|text| u64::from_str_radix(text, 16).ok());
         parsed.collect()
     };
-    let (added, evicted) = (read(&body.added), read(&body.evicted));
+    let (added, evicted) =
+        (parse_hashes(&body.added), parse_hashes(&body.evicted));
     let mut fleet = state.fleet();
-    let service = fleet.endpoint(&body.id).map(|live| live.service.clone());
+    let service =
+        fleet.endpoint(&body.id).map(|endpoint| endpoint.service.clone());
     if let Some(service) = service
         && let Some(pool) = fleet.pool(&service)
     {
@@ -315,14 +325,13 @@
     Ok(Response::json(StatusCode::OK, &json!({})))
 }
 
-/// True for an endpoint that has said that it leaves.
+/// Whether an incarnation of an endpoint has announced that it leaves.
 pub(super) fn has_left(state: &State, id: &str, incarnation: u64) -> bool {
     state.board.departed.read().iter().any(|record| {
         record.leaving
-            && record
-                .endpoint
-                .as_ref()
-                .is_some_and(|left| left.identity() == (id, incarnation))
+            && record.endpoint.as_ref().is_some_and(|endpoint| {
+                endpoint.identity() == (id, incarnation)
+            })
     })
 }
 
@@ -333,20 +342,23 @@
     Err(Refusal::later("this entry is cut off from control", 200))
 }
 
-fn note_renewal(state: &Shared, load: Load) {
+fn record_heartbeat(state: &Shared, load: Load) {
     let now = state.now();
     let mut renewals =
         state.renewals.0.lock().unwrap_or_else(|held| held.into_inner());
-    upsert(&mut renewals, (now, load.clone()), |(_, one)| {
-        one.endpoint.as_str()
+    upsert(&mut renewals, (now, load.clone()), |(_, load)| {
+        load.endpoint.as_str()
     });
     drop(renewals);
     state.fleet().report(state.now(), &[load]);
 }
 
-async fn commit(state: &Shared, kind: change::Kind) -> Result<i32, Refusal> {
+async fn commit_change(
+    state: &Shared,
+    kind: change::Kind,
+) -> Result<i32, Refusal> {
     let change = Change::new(kind);
-    match state.control.propose(change, COMMIT_LIMIT, true).await {
+    match state.control.propose(change, COMMIT_TIMEOUT, true).await {
         Ok(outcome) => match outcome.kind {
             Some(outcome::Kind::Endpoint(endpoint)) => Ok(endpoint.result),
             _ => Err(Refusal::later("control gave no answer", 200)),
@@ -359,7 +371,7 @@
     }
 }
 
-fn gone() -> Refusal {
+fn departed_refusal() -> Refusal {
     Refusal {
         status: StatusCode::GONE,
         verdict: Verdict::NotRun,
@@ -368,16 +380,16 @@
     }
 }
 
-fn lease_answer(orders: Vec<Value>) -> Response {
+fn lease_response(orders: Vec<Value>) -> Response {
     let body = json!({
         "lease_ms": ENDPOINT_LEASE_MS,
-        "heartbeat_ms": HEARTBEAT_MS,
+        "heartbeat_ms": HEARTBEAT_INTERVAL_MS,
         "orders": orders,
     });
     Response::json(StatusCode::OK, &body)
 }
 
-fn parse<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, Refusal> {
+fn parse_body<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, Refusal> {
     serde_json::from_slice(body).map_err(|error| {
         let text = format!("the body is not as it should be: {error}");
         Refusal::bad(StatusCode::BAD_REQUEST, text)
