--- a/src/entry/fleet.rs
+++ b/src/entry/fleet.rs
@@ -1,4 +1,4 @@
-//! The endpoints as this entry sees them, with a router for each service.
+//! Endpoints that this entry may use, and a router for each service.
 
 use tracing::info;
 
@@ -16,17 +16,18 @@
     pool: Pool,
 }
 
-/// Endpoints and routers.
+/// Endpoints and routers of one entry.
 pub struct Fleet {
-    /// Version of the list that control sent.
+    /// Version of the endpoint list from control.
     version: u64,
     /// Sorted by id.
     endpoints: Vec<Endpoint>,
-    /// Left, as heard here before control said so: id and incarnation.
-    left_here: Vec<(String, u64)>,
+    /// Id and incarnation of endpoints that announced their departure to this
+    /// entry, until control's list no longer contains them.
+    announced_departures: Vec<(String, u64)>,
     pools: Vec<ServicePool>,
-    near: String,
-    peers: usize,
+    local_data_centre: String,
+    peer_count: usize,
 }
 
 impl std::fmt::Debug for Fleet {
@@ -36,31 +37,32 @@
 }
 
 impl Fleet {
-    /// Starts without endpoints, for an entry in `near`.
-    pub fn open(near: &str) -> Fleet {
+    /// Creates a fleet without endpoints, for an entry in
+    /// `local_data_centre`.
+    pub fn open(local_data_centre: &str) -> Fleet {
         Fleet {
             version: 0,
             endpoints: Vec::new(),
-            left_here: Vec::new(),
+            announced_departures: Vec::new(),
             pools: Vec::new(),
-            near: near.to_owned(),
-            peers: 0,
+            local_data_centre: local_data_centre.to_owned(),
+            peer_count: 0,
         }
     }
 
-    /// Version of the list that control sent last.
+    /// Returns the version of the last endpoint list from control.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The endpoint of that id, if it may be given work.
+    /// Returns the endpoint with an id, if it may receive requests.
     pub fn endpoint(&self, id: &str) -> Option<&Endpoint> {
         let at =
             position(&self.endpoints, id, |endpoint| endpoint.id.as_str());
         at.ok().map(|at| &self.endpoints[at])
     }
 
-    /// Takes the list that control sent.
+    /// Applies an endpoint list from control.
     pub fn set_endpoints(
         &mut self,
         version: u64,
@@ -68,53 +70,57 @@
         config: Option<&Config>,
     ) {
         endpoints.sort_by(|one, other| one.id.cmp(&other.id));
-        // Control's word that an endpoint left may still be on its way here
-        // when an older list arrives; what was heard here stays in force
-        // until a list no longer has that incarnation.
-        self.left_here.retain(|(id, incarnation)| {
-            endpoints.iter().any(|live| live.identity() == (id, *incarnation))
+        // A list from before an endpoint's departure may arrive after the
+        // departure was announced to this entry. The departure therefore
+        // stays in force until a list no longer contains that incarnation.
+        self.announced_departures.retain(|(id, incarnation)| {
+            endpoints
+                .iter()
+                .any(|endpoint| endpoint.identity() == (id, *incarnation))
         });
-        endpoints.retain(|live| {
-            let (id, incarnation) = live.identity();
+        endpoints.retain(|endpoint| {
+            let (id, incarnation) = endpoint.identity();
             !self
-                .left_here
+                .announced_departures
                 .iter()
-                .any(|(left, number)| left == id && *number == incarnation)
+                .any(|(left_id, left)| left_id == id && *left == incarnation)
         });
         info!(
             target: "fleet",
-            "Version {version} has {} endpoints.", endpoints.len()
+            "Fleet version {version} has {} endpoints.", endpoints.len()
         );
         self.version = version;
         self.endpoints = endpoints;
         self.rebuild(config);
     }
 
-    /// Stops giving work to an endpoint, before control has said so.
+    /// Removes an endpoint that announced its departure to this entry, before
+    /// control's list reflects it.
     pub fn leave(
         &mut self,
         id: &str,
         incarnation: u64,
         config: Option<&Config>,
     ) {
-        self.left_here.push((id.to_owned(), incarnation));
-        self.endpoints.retain(|live| live.identity() != (id, incarnation));
+        self.announced_departures.push((id.to_owned(), incarnation));
+        self.endpoints
+            .retain(|endpoint| endpoint.identity() != (id, incarnation));
         self.rebuild(config);
     }
 
-    /// How many other entries there are.
-    pub fn set_peers(&mut self, peers: usize) {
-        self.peers = peers;
-        for one in &mut self.pools {
-            one.pool.set_peers(peers);
+    /// Sets the number of other entries that serve.
+    pub fn set_peers(&mut self, peer_count: usize) {
+        self.peer_count = peer_count;
+        for service_pool in &mut self.pools {
+            service_pool.pool.set_peers(peer_count);
         }
     }
 
-    /// Makes the routers anew, from endpoints and configuration.
+    /// Updates the routers from the endpoints and the configuration.
     pub fn rebuild(&mut self, config: Option<&Config>) {
         let Some(config) = config else { return };
         for service in &config.services {
-            let list: Vec<Identity> = self
+            let replicas: Vec<Identity> = self
                 .endpoints
                 .iter()
                 .filter(|endpoint| endpoint.service == service.name)
@@ -133,19 +139,21 @@
                     availability: Availability::Serving,
                 })
                 .collect();
-            let near = self.near.clone();
-            let pool = self.pool_or_new(&service.name, service.kind);
+            let local_data_centre = self.local_data_centre.clone();
+            let pool = self.pool_or_insert(&service.name, service.kind);
             pool.set_policy(service.routing);
             pool.set_recompute_factor(
                 service.recompute_percent as f32 / 100.0,
             );
-            pool.set_replicas(&near, &list);
+            pool.set_replicas(&local_data_centre, &replicas);
         }
     }
 
-    /// The router of a service.
+    /// Returns the router of a service.
     pub fn pool(&mut self, service: &str) -> Option<&mut Pool> {
-        let at = position(&self.pools, service, |one| one.service.as_str());
+        let at = position(&self.pools, service, |service_pool| {
+            service_pool.service.as_str()
+        });
         at.ok().map(|at| &mut self.pools[at].pool)
     }
 
@@ -161,7 +169,8 @@
         Some((endpoint, choice))
     }
 
-    /// Takes loads that came through control.
+    /// Records loads that endpoints reported in heartbeats, here or through
+    /// control.
     pub fn report(&mut self, now: u64, loads: &[Load]) {
         for load in loads {
             let Some(endpoint) = self.endpoint(&load.endpoint) else {
@@ -180,8 +189,10 @@
         }
     }
 
-    fn pool_or_new(&mut self, service: &str, kind: Kind) -> &mut Pool {
-        let found = position(&self.pools, service, |one| one.service.as_str());
+    fn pool_or_insert(&mut self, service: &str, kind: Kind) -> &mut Pool {
+        let found = position(&self.pools, service, |service_pool| {
+            service_pool.service.as_str()
+        });
         let at = match found {
             Ok(at) => at,
             Err(at) => {
@@ -194,7 +205,7 @@
                     },
                 };
                 let mut pool = Pool::open(Policy::Cost, weights, random_id());
-                pool.set_peers(self.peers);
+                pool.set_peers(self.peer_count);
                 let service = service.to_owned();
                 self.pools.insert(at, ServicePool { service, pool });
                 at
