--- a/tests/all/product.rs
+++ b/tests/all/product.rs
@@ -1,4 +1,5 @@
-//! The programs as their users meet them: help, exit codes, bad input.
+//! Tests the programs from outside: help texts, exit codes, invalid input and
+//! signals.
 
 use std::{
     fs,
@@ -17,8 +18,8 @@
     scenario::BASE,
 };
 
-fn run(program: &str, arguments: &[&str]) -> Output {
-    Command::new(program).args(arguments).output().expect("it runs")
+fn run_program(program: &str, arguments: &[&str]) -> Output {
+    Command::new(program).args(arguments).output().expect("program starts")
 }
 
 const ENTRY: &str = env!("CARGO_BIN_EXE_azuremount-entry");
@@ -28,36 +29,42 @@
 #[test]
 fn help_version_and_exit_codes() {
     for program in [ENTRY, CONTROL, OPERATOR] {
-        let help = run(program, &["--help"]);
+        let help = run_program(program, &["--help"]);
         assert_eq!(help.status.code(), Some(0));
         let text = String::from_utf8_lossy(&help.stdout).into_owned();
         assert!(text.contains("Exit codes: 0"), "{text}");
-        let version = run(program, &["--version"]);
+        let version = run_program(program, &["--version"]);
         let text = String::from_utf8_lossy(&version.stdout).into_owned();
         assert!(text.contains(env!("CARGO_PKG_VERSION")), "{text}");
     }
-    assert_eq!(run(ENTRY, &[]).status.code(), Some(2));
-    assert_eq!(run(CONTROL, &[]).status.code(), Some(2));
-    assert_eq!(run(OPERATOR, &[]).status.code(), Some(2));
-    let refused = run(OPERATOR, &["status", "--control", "127.0.0.1:1"]);
-    assert_eq!(refused.status.code(), Some(1));
+    assert_eq!(run_program(ENTRY, &[]).status.code(), Some(2));
+    assert_eq!(run_program(CONTROL, &[]).status.code(), Some(2));
+    assert_eq!(run_program(OPERATOR, &[]).status.code(), Some(2));
+    let unreachable =
+        run_program(OPERATOR, &["status", "--control", "127.0.0.1:1"]);
+    assert_eq!(unreachable.status.code(), Some(1));
 }
 
 #[test]
 fn check_shows_all_errors_and_exits_with_2() {
     let folder = std::env::temp_dir()
         .join(format!("azuremount-check-{}", std::process::id()));
-    fs::create_dir_all(folder.join("sites")).expect("a folder");
-    fs::write(folder.join("base.toml"), "[system]\nnane = 1\n").expect("base");
-    fs::write(folder.join("sites/a.toml"), "site = 3\n").expect("a site");
+    fs::create_dir_all(folder.join("sites")).expect("folder is created");
+    fs::write(folder.join("base.toml"), "[system]\nnane = 1\n")
+        .expect("base.toml is written");
+    fs::write(folder.join("sites/a.toml"), "site = 3\n")
+        .expect("site file is written");
     let path = folder.display().to_string();
-    let output = run(OPERATOR, &["check", &path]);
-    fs::remove_dir_all(&folder).expect("removed");
-    let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert_eq!(output.status.code(), Some(2), "{said}");
-    assert!(said.contains("base.toml:2: system.nane: unknown key"), "{said}");
-    assert!(said.contains("sites/a.toml:1: site: must be text"), "{said}");
-    let sample = run(OPERATOR, &["check", "examples/roddur"]);
+    let output = run_program(OPERATOR, &["check", &path]);
+    fs::remove_dir_all(&folder).expect("folder is removed");
+    let errors = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert_eq!(output.status.code(), Some(2), "{errors}");
+    assert!(
+        errors.contains("base.toml:2: system.nane: unknown key"),
+        "{errors}"
+    );
+    assert!(errors.contains("sites/a.toml:1: site: must be text"), "{errors}");
+    let sample = run_program(OPERATOR, &["check", "examples/roddur"]);
     assert_eq!(sample.status.code(), Some(0));
 }
 
@@ -82,20 +89,21 @@
     cluster
 }
 
-fn ask(
+fn post(
     cluster: &Cluster,
     path: &str,
     headers: &[(&'static str, &str)],
     body: &str,
 ) -> String {
     let answer = cluster.http("e1", Method::POST, path, headers, body);
-    let answer = answer.expect("an answer");
+    let answer = answer.expect("entry answers");
     let verdict = answer.headers.get("azuremount-verdict");
-    let verdict = verdict.map_or("none", |one| one.to_str().expect("text"));
+    let verdict = verdict
+        .map_or("none", |verdict| verdict.to_str().expect("verdict is text"));
     format!("{} {verdict}", answer.status.as_u16())
 }
 
-/// Path, headers, body, and what must be answered.
+/// Path, headers, body, and the expected status and verdict.
 type Case<'a> = (&'a str, &'a [(&'static str, &'a str)], &'a str, &'a str);
 
 #[test]
@@ -168,26 +176,29 @@
         ("/v1/endpoints/dance", &[], "{}", "404 not run"),
     ];
     for (path, headers, body, expected) in cases {
-        let told = ask(&cluster, path, headers, body);
-        assert_eq!(told, expected, "{path} {headers:?} {body}");
+        let answer = post(&cluster, path, headers, body);
+        assert_eq!(answer, expected, "{path} {headers:?} {body}");
     }
     let too_large = "x".repeat(5 * 1024 * 1024);
     let path = "/v1/services/alerts/send";
-    let told = cluster.http("e1", Method::POST, path, &[red, key], &too_large);
-    // The entry may hang up while the rest of the body is on its way.
-    if let Ok(answer) = told {
+    let answer =
+        cluster.http("e1", Method::POST, path, &[red, key], &too_large);
+    // The entry may close the connection before it has read the whole body.
+    if let Ok(answer) = answer {
         assert_eq!(answer.status.as_u16(), 413);
     }
     assert_eq!(cluster.runs("k"), 0);
-    assert_eq!(ask(&cluster, chat, &[red], &good), "200 ran");
+    assert_eq!(post(&cluster, chat, &[red], &good), "200 ran");
 }
 
-/// Whatever bytes come in, the entry answers or hangs up, and serves on.
+/// Guards against input that makes an entry panic, hang or keep memory. The
+/// entry must answer random bytes or close the connection, and must go on
+/// serving.
 #[test]
 fn random_bytes_do_not_stop_an_entry() {
     let mut cluster = small_cluster();
     let address = cluster.address("e1");
-    let words: [&[u8]; 18] = [
+    let fragments: [&[u8]; 18] = [
         b"GET ",
         b"POST ",
         b"/v1/chat/completions",
@@ -210,19 +221,20 @@
     fixed_seeds(150, |u| {
         let mut bytes = Vec::new();
         for _ in 0..u.int_in_range(1..=30)? {
-            bytes.extend_from_slice(u.choose(&words)?);
+            bytes.extend_from_slice(u.choose(&fragments)?);
         }
-        let mut stream = TcpStream::connect(address).expect("it listens");
+        let mut stream = TcpStream::connect(address).expect("entry listens");
         let _ = stream.write_all(&bytes);
         let _ = stream.shutdown(std::net::Shutdown::Write);
-        let long = Some(Duration::from_secs(30));
-        stream.set_read_timeout(long).expect("a timeout");
+        let read_timeout = Some(Duration::from_secs(30));
+        stream.set_read_timeout(read_timeout).expect("read timeout is set");
         let mut answer = Vec::new();
         let _ = stream.read_to_end(&mut answer);
         Ok(())
     });
-    // Heads without end are cut off, and leave no memory behind.
-    let mut stream = TcpStream::connect(address).expect("it listens");
+    // The entry closes connections whose head never ends, and frees their
+    // memory.
+    let mut stream = TcpStream::connect(address).expect("entry listens");
     let _ = stream.write_all(b"GET / HTTP/1.1\r\n");
     for _ in 0..2000 {
         if stream.write_all(&[b'a'; 1024]).is_err() {
@@ -232,51 +244,54 @@
     let red = ("azuremount-team", "red");
     let key = ("idempotency-key", "after");
     let path = "/v1/services/alerts/send";
-    assert_eq!(ask(&cluster, path, &[red, key], "x"), "200 ran");
+    assert_eq!(post(&cluster, path, &[red, key], "x"), "200 ran");
     let log = cluster.log("e1");
     assert!(!log.contains("panicked"), "{log}");
     let pid = cluster.pid("e1");
     let status = fs::read_to_string(format!("/proc/{pid}/status"));
-    let status = status.expect("a running process");
-    let resident: u64 = status
+    let status = status.expect("process is running");
+    let resident_kb: u64 = status
         .lines()
         .find_map(|line| line.strip_prefix("VmRSS:"))
         .and_then(|rest| rest.trim().trim_end_matches(" kB").parse().ok())
-        .expect("a size");
-    assert!(resident < 256 * 1024, "{resident} kB");
+        .expect("status has a resident size");
+    assert!(resident_kb < 256 * 1024, "{resident_kb} kB");
 }
 
-/// A sender that stops in the middle of its body is told so, and not run.
+/// Guards against requests that wait forever for the rest of their body. A
+/// caller that stops sending in the middle of the body receives 408, and the
+/// request is not run.
 #[test]
-fn a_slow_sender_is_cut_off() {
+fn incomplete_body_times_out_as_not_run() {
     let cluster = small_cluster();
     let address = cluster.address("e1");
-    let mut stream = TcpStream::connect(address).expect("it listens");
+    let mut stream = TcpStream::connect(address).expect("entry listens");
     let head = "POST /v1/services/alerts/send HTTP/1.1\r\nhost: e\r\n\
                 azuremount-team: red\r\nidempotency-key: slow\r\n\
                 content-length: 100\r\n\r\nUV";
-    stream.write_all(head.as_bytes()).expect("a part of a request");
-    let long = Some(Duration::from_secs(60));
-    stream.set_read_timeout(long).expect("a timeout");
+    stream.write_all(head.as_bytes()).expect("part of a request is sent");
+    let read_timeout = Some(Duration::from_secs(60));
+    stream.set_read_timeout(read_timeout).expect("read timeout is set");
     let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("an answer, then the end");
+    stream.read_to_string(&mut answer).expect("answer, then end of stream");
     assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
     assert!(answer.contains("azuremount-verdict: not run"), "{answer}");
     assert_eq!(cluster.runs("slow"), 0);
 }
 
-/// `xitca-web` links a crate for io_uring; a ring in use would be one of the
-/// process's open files.
+/// Guards against the use of io_uring, for which `xitca-web` links a crate. A
+/// ring in use appears among the open files of the process.
 #[test]
 fn no_process_uses_io_uring() {
     let mut cluster = small_cluster();
     let red = ("azuremount-team", "red");
     let key = ("idempotency-key", "ring");
     let path = "/v1/services/alerts/send";
-    assert_eq!(ask(&cluster, path, &[red, key], "x"), "200 ran");
+    assert_eq!(post(&cluster, path, &[red, key], "x"), "200 ran");
     for name in ["e1", "c1"] {
         let pid = cluster.pid(name);
-        let files = fs::read_dir(format!("/proc/{pid}/fd")).expect("files");
+        let files = fs::read_dir(format!("/proc/{pid}/fd"))
+            .expect("open files can be listed");
         let mut seen = 0;
         for file in files.flatten() {
             let Ok(target) = fs::read_link(file.path()) else { continue };
@@ -288,10 +303,10 @@
     }
 }
 
-/// Guards against daemons that a SIGHUP ends with the requests that they have
-/// accepted.
+/// Guards against daemons that SIGHUP kills without a drain, together with the
+/// requests that they have accepted.
 #[test]
-fn a_hangup_stops_daemons_in_order() {
+fn sighup_stops_daemons_gracefully() {
     let mut cluster = small_cluster();
     for name in ["e1", "c1"] {
         cluster.hang_up(name);
