--- a/src/entry/answers.rs
+++ b/src/entry/answers.rs
@@ -34,7 +34,8 @@
 /// Time without an entry that knows the request after which the stream fails,
 /// in ms.
 ///
-/// It is longer than the owner's lease and the takeover by the buddy together.
+/// It is longer than the owner's lease and the takeover by the backup entry
+/// together.
 const UNKNOWN_REQUEST_TIMEOUT_MS: u64 = 10_000;
 
 fn event_stream(id: &str, pieces: mpsc::Receiver<Piece>) -> Response {
@@ -152,8 +153,8 @@
     sender: &mpsc::Sender<Piece>,
 ) -> Result<(), Disconnected> {
     let mut offset = from;
-    // After the owner crashes, no entry may answer until its buddy has taken
-    // over.
+    // After the owner crashes, no entry may answer until its backup entry has
+    // taken over.
     let mut last_reply_at = state.now();
     loop {
         let Some(reply) = peers::fetch(state, id, offset).await else {
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -240,8 +240,8 @@
     }
 }
 
-/// Whether no request runs on this entry and the buddies have received all
-/// pieces and the outcome of its model requests.
+/// Whether no request runs on this entry and the backup entries have received
+/// all pieces and the outcome of its model requests.
 fn is_idle(state: &State) -> bool {
     let busy = state.requests.select(|record| {
         record.owner() == Owner::Here
