--- a/benches/control.rs
+++ b/benches/control.rs
@@ -302,7 +302,7 @@
         let began = Instant::now();
         let (disk, saved) = Disk::open(&folder).expect("a folder");
         let me = Identity { id: 1, incarnation: disk.incarnation() };
-        let timing = Timing { heartbeat: 100, election: 500 };
+        let timing = Timing { heartbeat_ms: 100, election_timeout_ms: 500 };
         let log = saved.entries.clone();
         let node = Node::open(me, timing, 1, 0, saved);
         let mut ledger = Ledger::default();
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -110,8 +110,8 @@
     let timer = Timer::spawn();
     let me = Identity { id: settings.id, incarnation: disk.incarnation() };
     let timing = Timing {
-        heartbeat: settings.heartbeat_ms,
-        election: settings.election_ms,
+        heartbeat_ms: settings.heartbeat_ms,
+        election_timeout_ms: settings.election_ms,
     };
     let snapshot = saved.snapshot.clone();
     let node = Node::open(me, timing, random_id(), timer.now(), saved);
--- a/src/control/raft/election.rs
+++ b/src/control/raft/election.rs
@@ -62,7 +62,8 @@
         // still hear.
         let hears_leader = self.is_leader()
             || self.heard_leader_at.is_some_and(|at| {
-                now < at + self.timing.election && self.leader.is_some()
+                now < at + self.timing.election_timeout_ms
+                    && self.leader.is_some()
             });
         if hears_leader {
             if request.pre || term > self.term {
@@ -162,7 +163,7 @@
     }
 
     pub(super) fn reset_election_timer(&mut self, now: u64) {
-        let min_wait = self.timing.election;
+        let min_wait = self.timing.election_timeout_ms;
         self.election_due_at =
             now + self.rng.random_range(min_wait..2 * min_wait);
     }
@@ -178,7 +179,9 @@
             member == self.me
                 || leader_state.progress.iter().any(|progress| {
                     progress.member == member
-                        && now < progress.confirmed_at + self.timing.election
+                        && now
+                            < progress.confirmed_at
+                                + self.timing.election_timeout_ms
                 })
         })
     }
--- a/src/control/raft/leader.rs
+++ b/src/control/raft/leader.rs
@@ -43,10 +43,10 @@
     }
 
     pub(super) fn broadcast(&mut self, now: u64) {
-        let heartbeat = self.timing.heartbeat;
+        let heartbeat_ms = self.timing.heartbeat_ms;
         let Role::Leader(leader_state) = &mut self.role else { return };
         leader_state.round += 1;
-        leader_state.heartbeat_due_at = now + heartbeat;
+        leader_state.heartbeat_due_at = now + heartbeat_ms;
         let round = leader_state.round;
         leader_state.sent_rounds.push((round, now));
         if leader_state.sent_rounds.len() > 1024 {
@@ -61,15 +61,16 @@
         let last_index = self.last_index();
         let base = self.base;
         let commit = self.commit_index;
-        let election = self.timing.election;
+        let election_timeout_ms = self.timing.election_timeout_ms;
         let Role::Leader(leader_state) = &mut self.role else { return };
         let round = leader_state.round;
         let progress = &mut leader_state.progress[pos];
         let member = progress.member;
         if progress.next_index <= base.0 {
-            let snapshot_in_flight = progress
-                .snapshot_sent_at
-                .is_some_and(|sent_at| now < sent_at + 2 * election);
+            let snapshot_in_flight =
+                progress.snapshot_sent_at.is_some_and(|sent_at| {
+                    now < sent_at + 2 * election_timeout_ms
+                });
             if snapshot_in_flight {
                 return;
             }
--- a/src/control/raft/mod.rs
+++ b/src/control/raft/mod.rs
@@ -74,11 +74,11 @@
     /// Heartbeat interval and election timeout, in ms.
     pub struct Timing {
         /// Interval between two rounds of an idle leader, in ms.
-        pub heartbeat: u64,
+        pub heartbeat_ms: u64,
         /// Minimum election timeout, in ms.
         ///
         /// Each timeout is drawn at random between this and twice this.
-        pub election: u64,
+        pub election_timeout_ms: u64,
     }
 }
 
@@ -292,7 +292,7 @@
         self.is_leader()
             || self
                 .heard_leader_at
-                .is_some_and(|at| now < at + self.timing.election)
+                .is_some_and(|at| now < at + self.timing.election_timeout_ms)
     }
 
     /// Whether the log and the snapshot are empty.
@@ -425,7 +425,9 @@
             || leader_state.progress.iter().any(|progress| {
                 progress.member == voter
                     && progress.acked_round > 0
-                    && now < progress.confirmed_at + 2 * self.timing.election
+                    && now
+                        < progress.confirmed_at
+                            + 2 * self.timing.election_timeout_ms
                     && progress.matched_index + CAUGHT_UP_ENTRIES
                         > self.commit_index
             })
@@ -471,7 +473,9 @@
                 && leader_state.progress.iter().any(|progress| {
                     progress.member == Identity::from(member)
                         && progress.acked_round > 0
-                        && now < progress.confirmed_at + self.timing.election
+                        && now
+                            < progress.confirmed_at
+                                + self.timing.election_timeout_ms
                         && progress.matched_index + CAUGHT_UP_ENTRIES
                             > self.commit_index
                 })
--- a/src/control/seat.rs
+++ b/src/control/seat.rs
@@ -188,7 +188,10 @@
         id: id_of(options.address),
         incarnation: disk.incarnation(),
     };
-    let timing = Timing { heartbeat: HEARTBEAT_MS, election: ELECTION_MS };
+    let timing = Timing {
+        heartbeat_ms: HEARTBEAT_MS,
+        election_timeout_ms: ELECTION_MS,
+    };
     let snapshot = saved.snapshot.clone();
     let mut node = Node::open(me, timing, random_id(), timer.now(), saved);
     info!(
--- a/tests/all/raft.rs
+++ b/tests/all/raft.rs
@@ -21,7 +21,7 @@
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
-const TIMING: Timing = Timing { heartbeat: 50, election: 250 };
+const TIMING: Timing = Timing { heartbeat_ms: 50, election_timeout_ms: 250 };
 
 /// The data that a process keeps across a crash.
 #[derive(Clone, Default)]
@@ -650,7 +650,7 @@
     let me = Identity { id: 1, incarnation: 101 };
     let mut node = Node::open(me, TIMING, 5, 0, Saved::default());
     node.bootstrap(three_members());
-    let now = 2 * TIMING.election;
+    let now = 2 * TIMING.election_timeout_ms;
     node.tick(now);
     for pre in [true, false] {
         let term = node.term() + u64::from(pre);
@@ -730,9 +730,10 @@
     let (mut node, now) = leader_with_entry_of_older_term();
     node.receive(now, from_member_2(node.term(), append_success(2)));
     assert!(node.propose(now + 10, b"one".to_vec()).is_ok());
-    node.tick(now + TIMING.election + 1);
+    node.tick(now + TIMING.election_timeout_ms + 1);
     assert!(!node.is_leader());
-    let refused = node.propose(now + TIMING.election + 1, b"two".to_vec());
+    let refused =
+        node.propose(now + TIMING.election_timeout_ms + 1, b"two".to_vec());
     assert_eq!(refused, Err(Refusal::NotLeader { leader: None }));
 }
 
