--- a/src/control/disk.rs
+++ b/src/control/disk.rs
@@ -29,7 +29,7 @@
 
 use prost::Message;
 
-use super::raft::Saved;
+use super::raft::SavedState;
 use crate::wire::{DiskBatch, HardState, LogEntry, Snapshot};
 
 const HEADER: usize = 12;
@@ -97,7 +97,7 @@
     ///
     /// [`Error::Io`] when a file can't be read or made, or another process
     /// holds the folder; [`Error::Damaged`] as the module head says.
-    pub fn open(folder: &Path) -> Result<(Disk, Saved), Error> {
+    pub fn open(folder: &Path) -> Result<(Disk, SavedState), Error> {
         fs::create_dir_all(folder).map_err(failed("make", folder))?;
         let incarnation = open_identity(folder)?;
         let snapshot = read_snapshot(&folder.join("snapshot"))?;
@@ -343,12 +343,12 @@
     Ok((batches, at))
 }
 
-fn replay(batches: Vec<DiskBatch>, snapshot: Option<Snapshot>) -> Saved {
+fn replay(batches: Vec<DiskBatch>, snapshot: Option<Snapshot>) -> SavedState {
     let base = snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
-    let mut saved = Saved { snapshot, ..Saved::default() };
+    let mut saved = SavedState { snapshot, ..SavedState::default() };
     for batch in batches {
         if let Some(hard) = batch.hard {
-            saved.hard = hard;
+            saved.hard_state = hard;
         }
         for entry in batch.entries {
             if entry.index <= base {
--- a/src/control/member.rs
+++ b/src/control/member.rs
@@ -525,7 +525,7 @@
             }
             self.node.persisted(self.node.last_index());
             let applied = self.apply_committed();
-            self.answer_reads(output.reads, output.refused_reads);
+            self.answer_reads(output.confirmed_reads, output.refused_reads);
             if !applied {
                 break;
             }
@@ -562,8 +562,8 @@
     }
 
     fn persist(&mut self, output: &Output) -> Result<(), disk::Error> {
-        if let Some(snapshot) = &output.install {
-            let hard = self.node.hard();
+        if let Some(snapshot) = &output.new_snapshot {
+            let hard = self.node.hard_state();
             self.disk.install(snapshot, hard, &output.entries)?;
             let state = Ledger::decode(&snapshot.state);
             self.ledger = state.unwrap_or_default();
@@ -574,8 +574,8 @@
             );
             return Ok(());
         }
-        if output.hard.is_some() || !output.entries.is_empty() {
-            let hard = Some(self.node.hard());
+        if output.hard_state.is_some() || !output.entries.is_empty() {
+            let hard = Some(self.node.hard_state());
             self.disk.append(hard, output.entries.clone())?;
             self.commit_noted = self.node.commit_index();
         }
@@ -593,7 +593,7 @@
         }
         let rested = self.now >= self.commit_seen.1 + COMMIT_NOTE_MS;
         if self.seat.is_some() && rested && commit > self.commit_noted {
-            self.disk.append(Some(self.node.hard()), Vec::new())?;
+            self.disk.append(Some(self.node.hard_state()), Vec::new())?;
             self.commit_noted = commit;
         }
         Ok(())
@@ -692,7 +692,7 @@
         if !self.is_log_long() {
             return Ok(());
         }
-        let hard = self.node.hard();
+        let hard = self.node.hard_state();
         let state = self.ledger.encode();
         let Some((snapshot, entries)) = self.node.compact(self.applied, state)
         else {
--- a/src/control/raft/follower.rs
+++ b/src/control/raft/follower.rs
@@ -109,7 +109,7 @@
             self.persisted_index = index;
             self.snapshot = Some(snapshot.clone());
             self.rebuild_memberships();
-            self.output.install = Some(snapshot);
+            self.output.new_snapshot = Some(snapshot);
         }
         let reply = AppendReply {
             success: true,
--- a/src/control/raft/leader.rs
+++ b/src/control/raft/leader.rs
@@ -240,6 +240,6 @@
         }
         let Role::Leader(leader_state) = &mut self.role else { return };
         leader_state.reads.retain(|read| !confirmed.contains(&read.token));
-        self.output.reads.extend(confirmed);
+        self.output.confirmed_reads.extend(confirmed);
     }
 }
--- a/src/control/raft/mod.rs
+++ b/src/control/raft/mod.rs
@@ -5,7 +5,7 @@
 //! randomness of its own. Its driver passes in the time, messages and a seed,
 //! and processes what [`Node::output`] returns in this order:
 //!
-//! 1. write `hard`, `install` and `entries` to disk (one sync for all);
+//! 1. write `hard_state`, `new_snapshot` and `entries` to disk (one sync for all);
 //! 2. only then send `messages`;
 //! 3. call [`Node::persisted`], then apply what [`Node::committed`] returns.
 //!
@@ -84,9 +84,9 @@
 
 /// The state that a node restores from disk when it starts.
 #[derive(Clone, Debug, Default)]
-pub struct Saved {
+pub struct SavedState {
     /// Term, vote and commit index.
-    pub hard: HardState,
+    pub hard_state: HardState,
     /// The newest snapshot.
     pub snapshot: Option<Snapshot>,
     /// The entries after the snapshot.
@@ -97,9 +97,9 @@
 #[derive(Debug, Default)]
 pub struct Output {
     /// Term, vote and commit index to write to disk.
-    pub hard: Option<HardState>,
+    pub hard_state: Option<HardState>,
     /// A snapshot that replaces the whole log.
-    pub install: Option<Snapshot>,
+    pub new_snapshot: Option<Snapshot>,
     /// Entries to write to disk.
     ///
     /// An entry whose index is already in the log replaces the log from that
@@ -108,7 +108,7 @@
     /// Messages to send once the fields above are on disk.
     pub messages: Vec<Envelope>,
     /// Tokens of reads that may now be answered.
-    pub reads: Vec<u64>,
+    pub confirmed_reads: Vec<u64>,
     /// Tokens of reads that failed because this node no longer leads.
     pub refused_reads: Vec<u64>,
 }
@@ -206,21 +206,21 @@
         timing: Timing,
         seed: u64,
         now: u64,
-        saved: Saved,
+        saved: SavedState,
     ) -> Node {
         let base = match &saved.snapshot {
             Some(snapshot) => (snapshot.index, snapshot.term),
             None => (0, 0),
         };
         let vote = Identity {
-            id: saved.hard.vote,
-            incarnation: saved.hard.vote_incarnation,
+            id: saved.hard_state.vote,
+            incarnation: saved.hard_state.vote_incarnation,
         };
         let mut node = Node {
             me,
             timing,
             rng: StdRng::seed_from_u64(seed),
-            term: saved.hard.term,
+            term: saved.hard_state.term,
             voted_for: (vote.id != 0).then_some(vote),
             base,
             entries: saved.entries,
@@ -240,7 +240,7 @@
         node.persisted_index = node.last_index();
         // Entries known to be committed can be applied before a leader is
         // elected.
-        let known_commit = saved.hard.commit.min(node.last_index());
+        let known_commit = saved.hard_state.commit.min(node.last_index());
         node.commit_index = node.commit_index.max(known_commit);
         node.rebuild_memberships();
         node.reset_election_timer(now);
@@ -577,7 +577,7 @@
 
     /// Starts a read that sees every change acknowledged before it.
     ///
-    /// [`Output::reads`] returns the token once a majority has confirmed that
+    /// [`Output::confirmed_reads`] returns the token once a majority has confirmed that
     /// this node still leads, and [`Output::refused_reads`] if it steps down
     /// before that.
     pub fn read(&mut self, now: u64, token: u64) -> Result<(), Refusal> {
@@ -648,7 +648,7 @@
     pub fn output(&mut self) -> Output {
         let mut output = std::mem::take(&mut self.output);
         if std::mem::take(&mut self.hard_state_changed) {
-            output.hard = Some(self.hard());
+            output.hard_state = Some(self.hard_state());
         }
         output
     }
@@ -702,7 +702,7 @@
     }
 
     /// Term, vote and commit index, as written to disk.
-    pub fn hard(&self) -> HardState {
+    pub fn hard_state(&self) -> HardState {
         let vote =
             self.voted_for.unwrap_or(Identity { id: 0, incarnation: 0 });
         HardState {
--- a/tests/all/disk.rs
+++ b/tests/all/disk.rs
@@ -11,7 +11,7 @@
 use azuremount::{
     control::{
         disk::{Disk, Error},
-        raft::Saved,
+        raft::SavedState,
     },
     wire::{HardState, LogEntry, Membership, Snapshot},
 };
@@ -44,7 +44,7 @@
 /// Other tests start processes: between fork and exec a child shares this
 /// process's open files, and with them the lock of a disk that is dropped
 /// here meanwhile. The product itself starts no process.
-fn open(folder: &Folder) -> Result<(Disk, Saved), Error> {
+fn open(folder: &Folder) -> Result<(Disk, SavedState), Error> {
     for _ in 0..500 {
         match Disk::open(&folder.0) {
             Err(Error::Io { doing: "lock", .. }) => {
@@ -77,7 +77,7 @@
     write_ten(&folder);
     let (disk, saved) = open(&folder).expect("a known folder");
     assert_eq!(saved.entries.len(), 10);
-    assert_eq!(saved.hard, hard(10));
+    assert_eq!(saved.hard_state, hard(10));
     let incarnation = disk.incarnation();
     drop(disk);
     let (disk, _) = open(&folder).expect("a known folder");
@@ -166,7 +166,7 @@
     let (_, saved) = open(&folder).expect("a known folder");
     assert_eq!(saved.snapshot, Some(snapshot));
     assert_eq!(saved.entries, [entry(9), entry(10), entry(11)]);
-    assert_eq!(saved.hard, hard(3));
+    assert_eq!(saved.hard_state, hard(3));
 }
 
 /// The process died between putting the snapshot and the log in place.
--- a/tests/all/raft.rs
+++ b/tests/all/raft.rs
@@ -14,7 +14,7 @@
 //!   acknowledged before it began.
 
 use azuremount::{
-    control::raft::{Identity, Node, Output, Refusal, Saved, Timing},
+    control::raft::{Identity, Node, Output, Refusal, SavedState, Timing},
     wire::{
         AppendReply, Envelope, LogEntry, Member, VoteReply, envelope::Body,
     },
@@ -27,17 +27,17 @@
 #[derive(Clone, Default)]
 struct Disk {
     incarnation: u64,
-    saved: Saved,
+    saved: SavedState,
 }
 
 impl Disk {
     fn write(&mut self, output: &Output) {
-        if let Some(snapshot) = &output.install {
+        if let Some(snapshot) = &output.new_snapshot {
             self.saved.snapshot = Some(snapshot.clone());
             self.saved.entries.clear();
         }
-        if let Some(hard) = output.hard {
-            self.saved.hard = hard;
+        if let Some(hard) = output.hard_state {
+            self.saved.hard_state = hard;
         }
         let base =
             self.saved.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
@@ -97,7 +97,7 @@
                 let me = Identity { id, incarnation: 100 + id };
                 let seed = rng.random();
                 let mut node =
-                    Node::open(me, TIMING, seed, 0, Saved::default());
+                    Node::open(me, TIMING, seed, 0, SavedState::default());
                 // Every member starts with the same first list, as if it had
                 // already been replicated.
                 node.bootstrap(members.clone());
@@ -358,7 +358,7 @@
                 return;
             }
             process.disk.write(&output);
-            if let Some(snapshot) = &output.install {
+            if let Some(snapshot) = &output.new_snapshot {
                 process.applied = decode(Some(snapshot));
             }
             if crash_before_send {
@@ -373,7 +373,7 @@
                 self.apply(slot, entry);
             }
             let process = &mut self.processes[slot];
-            for token in output.reads {
+            for token in output.confirmed_reads {
                 let position =
                     process.reads.iter().position(|read| read.0 == token);
                 if let Some(position) = position {
@@ -577,7 +577,7 @@
     cluster.partitioned[2] = false;
     cluster.in_flight.clear();
     let me = Identity { id: 2, incarnation: 999 };
-    let empty = Saved::default();
+    let empty = SavedState::default();
     let node = Node::open(me, TIMING, 1, cluster.now, empty);
     cluster.processes[1].node = Some(node);
     for _ in 0..400 {
@@ -648,7 +648,7 @@
 /// log.
 fn leader_with_entry_of_older_term() -> (Node, u64) {
     let me = Identity { id: 1, incarnation: 101 };
-    let mut node = Node::open(me, TIMING, 5, 0, Saved::default());
+    let mut node = Node::open(me, TIMING, 5, 0, SavedState::default());
     node.bootstrap(three_members());
     let now = 2 * TIMING.election_timeout_ms;
     node.tick(now);
