--- a/src/control/member.rs
+++ b/src/control/member.rs
@@ -230,7 +230,7 @@
 
     /// Keeps a place in a cluster whose members find each other.
     pub fn with_seat(mut self, seat: Seat) -> Thread {
-        self.node.set_retire_floor(seat.least_voters);
+        self.node.set_min_healthy_voters(seat.least_voters);
         self.seat = Some(seat);
         self
     }
@@ -306,7 +306,7 @@
         let Some(seat) = &self.seat else { return };
         let heard = self.node.hears_leader(self.now);
         if !heard && leader != self.node.identity().id {
-            self.node.ask_to_join(leader, seat.address.clone());
+            self.node.request_join(leader, seat.address.clone());
         }
     }
 
@@ -350,7 +350,7 @@
     fn read(&mut self, what: Pending) {
         let token = self.next_token;
         self.next_token += 1;
-        match self.node.read(self.now, token) {
+        match self.node.start_read(self.now, token) {
             Ok(()) => self.reads.push(PendingRead { token, what }),
             Err(refusal) => {
                 let failure = self.failure(refusal);
@@ -473,7 +473,7 @@
         }
         self.now = now;
         if self.node.is_leader() {
-            self.unheard = self.node.unheard(now, UNHEARD_MS);
+            self.unheard = self.node.silent_members(now, UNHEARD_MS);
         }
         self.node.tick(now);
         if !self.node.is_leader() {
@@ -518,12 +518,12 @@
 
     fn settle_round(&mut self) -> Result<(), disk::Error> {
         loop {
-            let output = self.node.output();
+            let output = self.node.take_output();
             self.persist(&output)?;
             if !output.messages.is_empty() {
                 (self.send)(output.messages);
             }
-            self.node.persisted(self.node.last_index());
+            self.node.mark_persisted(self.node.last_index());
             let applied = self.apply_committed();
             self.answer_reads(output.confirmed_reads, output.refused_reads);
             if !applied {
@@ -600,7 +600,7 @@
     }
 
     fn apply_committed(&mut self) -> bool {
-        let committed = self.node.committed();
+        let committed = self.node.take_committed();
         for entry in &committed {
             let outcome = self.ledger.apply(entry);
             self.applied = entry.index;
--- a/src/control/raft/mod.rs
+++ b/src/control/raft/mod.rs
@@ -3,11 +3,11 @@
 //! Implements Raft with pre-vote, check-quorum, learners, one-at-a-time member
 //! changes and read-index. A [`Node`] has no clock, socket, disk or source of
 //! randomness of its own. Its driver passes in the time, messages and a seed,
-//! and processes what [`Node::output`] returns in this order:
+//! and processes what [`Node::take_output`] returns in this order:
 //!
 //! 1. write `hard_state`, `new_snapshot` and `entries` to disk (one sync for all);
 //! 2. only then send `messages`;
-//! 3. call [`Node::persisted`], then apply what [`Node::committed`] returns.
+//! 3. call [`Node::mark_persisted`], then apply what [`Node::take_committed`] returns.
 //!
 //! Sending before the sync is the classic way to lose an acknowledged change:
 //! a follower acknowledges an entry, loses power and restarts without it.
@@ -185,7 +185,7 @@
     /// Each member list in the log with its index, oldest first.
     memberships: Vec<(u64, Vec<Member>)>,
     commit_index: u64,
-    /// Index of the last entry that [`Node::committed`] has returned.
+    /// Index of the last entry that [`Node::take_committed`] has returned.
     returned_index: u64,
     persisted_index: u64,
     role: Role,
@@ -195,7 +195,7 @@
     snapshot: Option<Snapshot>,
     output: Output,
     hard_state_changed: bool,
-    /// See [`Node::set_retire_floor`].
+    /// See [`Node::set_min_healthy_voters`].
     min_healthy_voters: Option<usize>,
 }
 
@@ -267,19 +267,19 @@
 
     /// Lets the leader remove members that have long been silent.
     ///
-    /// A voter is removed only while there are at least `floor` healthy
+    /// A voter is removed only while there are at least `min_voters` healthy
     /// voters. Without removal, a permanently lost VM counts towards the
     /// quorum for ever: after two VMs were replaced one after the other, the
     /// loss of one more stops the cluster although most of its VMs run.
-    pub fn set_retire_floor(&mut self, floor: usize) {
-        self.min_healthy_voters = Some(floor);
+    pub fn set_min_healthy_voters(&mut self, min_voters: usize) {
+        self.min_healthy_voters = Some(min_voters);
     }
 
     /// Asks the leader to add this process, under `address`, as a member.
     ///
     /// For a process that hears no leader because it was never a member or
     /// was removed while it was unreachable.
-    pub fn ask_to_join(&mut self, leader: u64, address: String) {
+    pub fn request_join(&mut self, leader: u64, address: String) {
         let to = Identity { id: leader, incarnation: 0 };
         self.send(to, self.term, Body::Join(address));
     }
@@ -350,13 +350,13 @@
         }
     }
 
-    /// Whether a majority confirmed this leader within the last `lease` ms.
+    /// Whether a majority confirmed this leader within the last `lease_ms` ms.
     ///
     /// The time counts from when the confirmed round was sent, not from when
     /// the reply arrived, so a slow link can't extend the lease.
     ///
     /// False until the leader has committed an entry of its own term.
-    pub fn holds_quorum(&self, now: u64, lease: u64) -> bool {
+    pub fn holds_quorum(&self, now: u64, lease_ms: u64) -> bool {
         let Role::Leader(leader_state) = &self.role else { return false };
         if self.commit_index < leader_state.term_start_index {
             return false;
@@ -366,7 +366,7 @@
                 || leader_state.progress.iter().any(|progress| {
                     progress.member == member
                         && progress.acked_round > 0
-                        && now < progress.confirmed_at + lease
+                        && now < progress.confirmed_at + lease_ms
                 })
         })
     }
@@ -397,11 +397,15 @@
             .unwrap_or(0)
     }
 
-    /// The members that this leader has not heard for `min_silence` ms.
+    /// The members that this leader has not heard for `min_silence_ms`.
     ///
     /// Returns each member's address and its silence in ms; nothing if this
     /// node is not the leader.
-    pub fn unheard(&self, now: u64, min_silence: u64) -> Vec<(String, u64)> {
+    pub fn silent_members(
+        &self,
+        now: u64,
+        min_silence_ms: u64,
+    ) -> Vec<(String, u64)> {
         let Role::Leader(leader_state) = &self.role else { return Vec::new() };
         let silent = self.members().iter().filter_map(|member| {
             let identity = Identity::from(member);
@@ -410,7 +414,8 @@
                 .iter()
                 .find(|progress| progress.member == identity)?;
             let silence = now.saturating_sub(progress.confirmed_at);
-            (silence >= min_silence).then(|| (member.address.clone(), silence))
+            (silence >= min_silence_ms)
+                .then(|| (member.address.clone(), silence))
         });
         silent.collect()
     }
@@ -494,7 +499,7 @@
         now: u64,
         leader_state: &LeaderState,
     ) -> Option<Vec<Member>> {
-        let floor = self.min_healthy_voters?;
+        let min_voters = self.min_healthy_voters?;
         let members = self.members();
         let healthy = members
             .iter()
@@ -510,7 +515,7 @@
                     && now >= progress.confirmed_at + REMOVAL_TIMEOUT_MS
             })
         })?;
-        if members[silent].voter && healthy < floor {
+        if members[silent].voter && healthy < min_voters {
             return None;
         }
         let mut changed = members.to_vec();
@@ -580,7 +585,7 @@
     /// [`Output::confirmed_reads`] returns the token once a majority has confirmed that
     /// this node still leads, and [`Output::refused_reads`] if it steps down
     /// before that.
-    pub fn read(&mut self, now: u64, token: u64) -> Result<(), Refusal> {
+    pub fn start_read(&mut self, now: u64, token: u64) -> Result<(), Refusal> {
         let commit = self.commit_index;
         let Role::Leader(leader_state) = &mut self.role else {
             return Err(Refusal::NotLeader { leader: self.leader });
@@ -639,13 +644,13 @@
     }
 
     /// Records that the entries up to `index` have been synced to disk.
-    pub fn persisted(&mut self, index: u64) {
+    pub fn mark_persisted(&mut self, index: u64) {
         self.persisted_index = index.min(self.last_index());
         self.advance_commit();
     }
 
     /// Takes the output that has accumulated since the last call.
-    pub fn output(&mut self) -> Output {
+    pub fn take_output(&mut self) -> Output {
         let mut output = std::mem::take(&mut self.output);
         if std::mem::take(&mut self.hard_state_changed) {
             output.hard_state = Some(self.hard_state());
@@ -654,7 +659,7 @@
     }
 
     /// Takes the entries that have become ready to apply since the last call.
-    pub fn committed(&mut self) -> Vec<LogEntry> {
+    pub fn take_committed(&mut self) -> Vec<LogEntry> {
         let from = self.returned_index.max(self.base.0);
         // An entry must also be on this node's disk before it is applied
         // here.
--- a/tests/all/raft.rs
+++ b/tests/all/raft.rs
@@ -103,9 +103,9 @@
                 node.bootstrap(members.clone());
                 let mut disk =
                     Disk { incarnation: 100 + id, ..Disk::default() };
-                let output = node.output();
+                let output = node.take_output();
                 disk.write(&output);
-                node.persisted(node.last_index());
+                node.mark_persisted(node.last_index());
                 Process {
                     node: Some(node),
                     disk,
@@ -257,7 +257,7 @@
         let needed = self.acknowledged.len();
         let process = &mut self.processes[slot];
         let Some(node) = &mut process.node else { return };
-        if node.read(self.now, token).is_ok() {
+        if node.start_read(self.now, token).is_ok() {
             self.next_token += 1;
             process.reads.push((token, needed));
         }
@@ -352,7 +352,7 @@
             let crash_before_send = may_crash && self.chance(1);
             let process = &mut self.processes[slot];
             let Some(node) = &mut process.node else { return };
-            let output = node.output();
+            let output = node.take_output();
             if crash_before_sync {
                 self.crash_process(slot);
                 return;
@@ -366,8 +366,8 @@
                 return;
             }
             self.in_flight.extend(output.messages);
-            node.persisted(node.last_index());
-            let committed = node.committed();
+            node.mark_persisted(node.last_index());
+            let committed = node.take_committed();
             let has_committed = !committed.is_empty();
             for entry in committed {
                 self.apply(slot, entry);
@@ -663,8 +663,8 @@
         );
     }
     assert!(node.is_leader());
-    node.output();
-    node.persisted(node.last_index());
+    node.take_output();
+    node.mark_persisted(node.last_index());
     (node, now)
 }
 
@@ -792,17 +792,18 @@
 fn silent_members_are_removed_while_enough_healthy_voters_remain() {
     let (mut node, mut now) = leader_with_committed_entry();
     for (min_healthy, is_removed) in [(3, false), (2, true)] {
-        node.set_retire_floor(min_healthy);
+        node.set_min_healthy_voters(min_healthy);
         // Member 2 always answers, member 3 never.
         for _ in 0..100 {
             now += 100;
             node.tick(now);
-            let appended = node.output().messages.into_iter().find_map(
-                |message| match (message.to, message.body) {
-                    (2, Some(Body::AppendRequest(append))) => Some(append),
-                    _ => None,
-                },
-            );
+            let appended =
+                node.take_output().messages.into_iter().find_map(|message| {
+                    match (message.to, message.body) {
+                        (2, Some(Body::AppendRequest(append))) => Some(append),
+                        _ => None,
+                    }
+                });
             if let Some(append) = appended {
                 let reply = AppendReply {
                     success: true,
