--- a/src/control/raft/mod.rs
+++ b/src/control/raft/mod.rs
@@ -5,9 +5,11 @@
 //! randomness of its own. Its driver passes in the time, messages and a seed,
 //! and processes what [`Node::take_output`] returns in this order:
 //!
-//! 1. write `hard_state`, `new_snapshot` and `entries` to disk (one sync for all);
+//! 1. write `hard_state`, `new_snapshot` and `entries` to disk (one sync for
+//!    all);
 //! 2. only then send `messages`;
-//! 3. call [`Node::mark_persisted`], then apply what [`Node::take_committed`] returns.
+//! 3. call [`Node::mark_persisted`], then apply what [`Node::take_committed`]
+//!    returns.
 //!
 //! Sending before the sync is the classic way to lose an acknowledged change:
 //! a follower acknowledges an entry, loses power and restarts without it.
@@ -185,7 +187,8 @@
     /// Each member list in the log with its index, oldest first.
     memberships: Vec<(u64, Vec<Member>)>,
     commit_index: u64,
-    /// Index of the last entry that [`Node::take_committed`] has returned.
+    /// Index of the last entry that [`Node::take_committed`] has returned or
+    /// that the snapshot at the start or a received one covers.
     returned_index: u64,
     persisted_index: u64,
     role: Role,
@@ -582,9 +585,9 @@
 
     /// Starts a read that sees every change acknowledged before it.
     ///
-    /// [`Output::confirmed_reads`] returns the token once a majority has confirmed that
-    /// this node still leads, and [`Output::refused_reads`] if it steps down
-    /// before that.
+    /// [`Output::confirmed_reads`] returns the token once a majority has
+    /// confirmed that this node still leads, and [`Output::refused_reads`] if
+    /// it steps down before that.
     pub fn start_read(&mut self, now: u64, token: u64) -> Result<(), Refusal> {
         let commit = self.commit_index;
         let Role::Leader(leader_state) = &mut self.role else {
--- a/tests/all/raft.rs
+++ b/tests/all/raft.rs
@@ -273,8 +273,8 @@
 
     /// Whether one more process may become unavailable.
     ///
-    /// Keeps a majority available, except that 5 percent of the calls allow any
-    /// failure.
+    /// Keeps a majority available, except that 5 percent of the calls allow
+    /// any failure.
     fn can_fail_another(&mut self) -> bool {
         let unavailable = (0..self.processes.len()).filter(|&slot| {
             self.processes[slot].node.is_none()
@@ -562,8 +562,8 @@
 ///
 /// Members 1 and 2 commit a change while member 3 is partitioned. Member 2
 /// loses its disk and restarts empty, and member 1 crashes. Member 3 starts an
-/// election. Member 2 has lost the change, so it must not vote for member 3 under
-/// the incarnation of the lost disk.
+/// election. Member 2 has lost the change, so it must not vote for member 3
+/// under the incarnation of the lost disk.
 #[test]
 fn wiped_member_does_not_vote_under_its_old_incarnation() {
     let mut cluster = Cluster::new(3, 3);
@@ -771,7 +771,8 @@
     assert_eq!(node.due_membership(now), None, "already a member");
 }
 
-/// Guards against a member that lost its disk and votes as its old incarnation.
+/// Guards against a member that lost its disk and votes under its old
+/// incarnation.
 ///
 /// The member asks to join under its old id with a new incarnation.
 #[test]
