--- a/tests/all/raft.rs
+++ b/tests/all/raft.rs
@@ -14,30 +14,30 @@
 //!   acknowledged before it began.
 
 use azuremount::{
-    control::raft::{Identity, Node, Output, Refusal, Saved, Timing},
+    control::raft::{Identity, Node, Output, Refusal, SavedState, Timing},
     wire::{
         AppendReply, Envelope, LogEntry, Member, VoteReply, envelope::Body,
     },
 };
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
-const TIMING: Timing = Timing { heartbeat: 50, election: 250 };
+const TIMING: Timing = Timing { heartbeat_ms: 50, election_timeout_ms: 250 };
 
 /// The data that a process keeps across a crash.
 #[derive(Clone, Default)]
 struct Disk {
     incarnation: u64,
-    saved: Saved,
+    saved: SavedState,
 }
 
 impl Disk {
     fn write(&mut self, output: &Output) {
-        if let Some(snapshot) = &output.install {
+        if let Some(snapshot) = &output.new_snapshot {
             self.saved.snapshot = Some(snapshot.clone());
             self.saved.entries.clear();
         }
-        if let Some(hard) = output.hard {
-            self.saved.hard = hard;
+        if let Some(hard) = output.hard_state {
+            self.saved.hard_state = hard;
         }
         let base =
             self.saved.snapshot.as_ref().map_or(0, |snapshot| snapshot.index);
@@ -97,15 +97,15 @@
                 let me = Identity { id, incarnation: 100 + id };
                 let seed = rng.random();
                 let mut node =
-                    Node::open(me, TIMING, seed, 0, Saved::default());
+                    Node::open(me, TIMING, seed, 0, SavedState::default());
                 // Every member starts with the same first list, as if it had
                 // already been replicated.
                 node.bootstrap(members.clone());
                 let mut disk =
                     Disk { incarnation: 100 + id, ..Disk::default() };
-                let output = node.output();
+                let output = node.take_output();
                 disk.write(&output);
-                node.persisted(node.last_index());
+                node.mark_persisted(node.last_index());
                 Process {
                     node: Some(node),
                     disk,
@@ -257,7 +257,7 @@
         let needed = self.acknowledged.len();
         let process = &mut self.processes[slot];
         let Some(node) = &mut process.node else { return };
-        if node.read(self.now, token).is_ok() {
+        if node.start_read(self.now, token).is_ok() {
             self.next_token += 1;
             process.reads.push((token, needed));
         }
@@ -273,8 +273,8 @@
 
     /// Whether one more process may become unavailable.
     ///
-    /// Keeps a majority available, except that 5 percent of the calls allow any
-    /// failure.
+    /// Keeps a majority available, except that 5 percent of the calls allow
+    /// any failure.
     fn can_fail_another(&mut self) -> bool {
         let unavailable = (0..self.processes.len()).filter(|&slot| {
             self.processes[slot].node.is_none()
@@ -352,13 +352,13 @@
             let crash_before_send = may_crash && self.chance(1);
             let process = &mut self.processes[slot];
             let Some(node) = &mut process.node else { return };
-            let output = node.output();
+            let output = node.take_output();
             if crash_before_sync {
                 self.crash_process(slot);
                 return;
             }
             process.disk.write(&output);
-            if let Some(snapshot) = &output.install {
+            if let Some(snapshot) = &output.new_snapshot {
                 process.applied = decode(Some(snapshot));
             }
             if crash_before_send {
@@ -366,14 +366,14 @@
                 return;
             }
             self.in_flight.extend(output.messages);
-            node.persisted(node.last_index());
-            let committed = node.committed();
+            node.mark_persisted(node.last_index());
+            let committed = node.take_committed();
             let has_committed = !committed.is_empty();
             for entry in committed {
                 self.apply(slot, entry);
             }
             let process = &mut self.processes[slot];
-            for token in output.reads {
+            for token in output.confirmed_reads {
                 let position =
                     process.reads.iter().position(|read| read.0 == token);
                 if let Some(position) = position {
@@ -562,8 +562,8 @@
 ///
 /// Members 1 and 2 commit a change while member 3 is partitioned. Member 2
 /// loses its disk and restarts empty, and member 1 crashes. Member 3 starts an
-/// election. Member 2 has lost the change, so it must not vote for member 3 under
-/// the incarnation of the lost disk.
+/// election. Member 2 has lost the change, so it must not vote for member 3
+/// under the incarnation of the lost disk.
 #[test]
 fn wiped_member_does_not_vote_under_its_old_incarnation() {
     let mut cluster = Cluster::new(3, 3);
@@ -577,7 +577,7 @@
     cluster.partitioned[2] = false;
     cluster.in_flight.clear();
     let me = Identity { id: 2, incarnation: 999 };
-    let empty = Saved::default();
+    let empty = SavedState::default();
     let node = Node::open(me, TIMING, 1, cluster.now, empty);
     cluster.processes[1].node = Some(node);
     for _ in 0..400 {
@@ -648,9 +648,9 @@
 /// log.
 fn leader_with_entry_of_older_term() -> (Node, u64) {
     let me = Identity { id: 1, incarnation: 101 };
-    let mut node = Node::open(me, TIMING, 5, 0, Saved::default());
+    let mut node = Node::open(me, TIMING, 5, 0, SavedState::default());
     node.bootstrap(three_members());
-    let now = 2 * TIMING.election;
+    let now = 2 * TIMING.election_timeout_ms;
     node.tick(now);
     for pre in [true, false] {
         let term = node.term() + u64::from(pre);
@@ -663,8 +663,8 @@
         );
     }
     assert!(node.is_leader());
-    node.output();
-    node.persisted(node.last_index());
+    node.take_output();
+    node.mark_persisted(node.last_index());
     (node, now)
 }
 
@@ -730,9 +730,10 @@
     let (mut node, now) = leader_with_entry_of_older_term();
     node.receive(now, from_member_2(node.term(), append_success(2)));
     assert!(node.propose(now + 10, b"one".to_vec()).is_ok());
-    node.tick(now + TIMING.election + 1);
+    node.tick(now + TIMING.election_timeout_ms + 1);
     assert!(!node.is_leader());
-    let refused = node.propose(now + TIMING.election + 1, b"two".to_vec());
+    let refused =
+        node.propose(now + TIMING.election_timeout_ms + 1, b"two".to_vec());
     assert_eq!(refused, Err(Refusal::NotLeader { leader: None }));
 }
 
@@ -770,7 +771,8 @@
     assert_eq!(node.due_membership(now), None, "already a member");
 }
 
-/// Guards against a member that lost its disk and votes as its old incarnation.
+/// Guards against a member that lost its disk and votes under its old
+/// incarnation.
 ///
 /// The member asks to join under its old id with a new incarnation.
 #[test]
@@ -791,17 +793,18 @@
 fn silent_members_are_removed_while_enough_healthy_voters_remain() {
     let (mut node, mut now) = leader_with_committed_entry();
     for (min_healthy, is_removed) in [(3, false), (2, true)] {
-        node.set_retire_floor(min_healthy);
+        node.set_min_healthy_voters(min_healthy);
         // Member 2 always answers, member 3 never.
         for _ in 0..100 {
             now += 100;
             node.tick(now);
-            let appended = node.output().messages.into_iter().find_map(
-                |message| match (message.to, message.body) {
-                    (2, Some(Body::AppendRequest(append))) => Some(append),
-                    _ => None,
-                },
-            );
+            let appended =
+                node.take_output().messages.into_iter().find_map(|message| {
+                    match (message.to, message.body) {
+                        (2, Some(Body::AppendRequest(append))) => Some(append),
+                        _ => None,
+                    }
+                });
             if let Some(append) = appended {
                 let reply = AppendReply {
                     success: true,
