--- a/src/node/member.rs
+++ b/src/node/member.rs
@@ -1,4 +1,4 @@
-//! What a node does with its own member of the log.
+//! Connects a node to its own member of the replicated log.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,40 +7,41 @@
 use super::Node;
 use crate::control::seat;
 
-/// How often a member asks to be taken in while nobody leads it.
-const JOIN: Duration = Duration::from_millis(500);
+/// Interval between a member's requests to join while it has no leader.
+const JOIN_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Takes over what this node's own member sees.
-pub(super) async fn follow(node: Arc<Node>, seat: seat::Handle) {
-    let mut view = seat.view();
-    while view.changed().await.is_ok() {
+/// Applies the term, leader and committed plan that this node's member reports
+/// to the gateway, the mesh table and the metrics.
+pub(super) async fn apply_updates(node: Arc<Node>, seat: seat::Handle) {
+    let mut updates = seat.view();
+    while updates.changed().await.is_ok() {
         if node.has_stopped() {
             return;
         }
-        let seen = view.borrow_and_update().clone();
+        let current = updates.borrow_and_update().clone();
         let metrics = &node.gateway.metrics;
-        metrics.term.set(seen.term as i64);
-        metrics.leads.set(seen.leads.into());
-        if let (Some(mesh), Some(leader)) = (node.mesh.get(), seen.leader) {
+        metrics.term.set(current.term as i64);
+        metrics.leads.set(current.leads.into());
+        if let (Some(mesh), Some(leader)) = (node.mesh.get(), current.leader) {
             let mut table = mesh.table();
             let me = table.own_peer_mut();
-            if seen.hears_leader
-                && (seen.term, leader) > (me.leader_term, me.leader)
+            if current.hears_leader
+                && (current.term, leader) > (me.leader_term, me.leader)
             {
-                (me.leader_term, me.leader) = (seen.term, leader);
+                (me.leader_term, me.leader) = (current.term, leader);
             }
         }
-        if let Some(plan) = seen.plan {
+        if let Some(plan) = current.plan {
             node.adopt(plan);
         }
     }
 }
 
-/// Asks the leader that others name to be taken in, as long as none leads
-/// this member.
-pub(super) async fn ask_to_join(node: Arc<Node>, seat: seat::Handle) {
+/// Asks the leader that the mesh reports, at regular intervals, to add this
+/// member to the log. The member drops the request while a leader contacts it.
+pub(super) async fn request_join(node: Arc<Node>, seat: seat::Handle) {
     while !node.has_stopped() {
-        sleep(JOIN).await;
+        sleep(JOIN_INTERVAL).await;
         let leader = match node.mesh.get() {
             Some(mesh) => mesh.table().own_peer().leader,
             None => 0,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,22 +1,25 @@
-//! One node: gateway, mesh and, with a disk, a member of the log.
+//! A node: gateway, mesh and, on a VM with a disk, a member of the replicated
+//! log.
 //!
-//! Every VM runs one. [`spawn`] binds its own addresses; the interface towards
-//! operators and replicas is the platform's, which calls the [`Handle`].
+//! Every VM runs one node. [`spawn`] binds the addresses for callers and for
+//! other nodes. The platform serves operators and replicas itself and calls
+//! the [`Handle`].
 //!
 //! # Configuration
 //!
-//! Plans are accepted by the log and spread by whoever has them: members see
-//! them committed, all others hear of a higher version through the mesh and
-//! fetch it from a peer. A version never goes down. While control is away the
-//! node serves by the plan that it holds; only reading the plan back is
-//! refused, as nobody can say then which is the newest.
+//! The log commits plans. Members of the log receive them from it; the other
+//! nodes learn of a higher version through the mesh and fetch the plan from a
+//! peer that has it. The version at a node never decreases. While control is
+//! unavailable, the node serves by the plan that it holds. Only reading the
+//! plan back is refused, because without a majority no node knows which plan
+//! is the newest.
 //!
 //! # Stopping
 //!
-//! [`Handle::shutdown`]: not ready and not handed out at once; answers ask
-//! their clients to go elsewhere; requests that still come are served for a
-//! while, as clients keep addresses for some seconds; all that runs is
-//! finished.
+//! [`Handle::shutdown`] makes the node unready and withdraws its address from
+//! callers at once. Answers then ask their clients to connect to another node.
+//! Clients keep addresses for some seconds, so the node goes on accepting
+//! requests for a limited time. Then it finishes the requests in flight.
 
 mod member;
 mod peers;
@@ -66,80 +69,86 @@
 
 pub use self::plan::PutError;
 
-/// How long a stopping node goes on taking requests: clients keep an address
-/// for twice the time they are told. The few that come later find nobody
-/// listening and go elsewhere at once.
-const LINGER: Duration = Duration::from_millis(2800);
-/// The part of the grace period after which it takes none in any case.
-const LINGER_PART: f64 = 0.35;
-/// What is left of the grace period for ending the process itself.
-const LAST_WORDS: Duration = Duration::from_millis(400);
-/// How long each background task gets to end by itself.
-const PEERS_END: Duration = Duration::from_millis(100);
-/// Between two lines on statements that can't be read.
-const UNREADABLE_PAUSE: Duration = Duration::from_secs(1);
-/// Characters of a name from outside that go into a line.
-const NAMED: usize = 100;
-
-/// Reads a plan in the operators' own format.
+/// Maximum time for which a stopping node goes on accepting requests. Clients
+/// keep an address for up to twice its announced lifetime. The few that come
+/// later are refused the connection and use another node at once.
+const MAX_ACCEPT_DURATION: Duration = Duration::from_millis(2800);
+/// Maximum share of the grace period for which a stopping node accepts
+/// requests.
+const MAX_ACCEPT_SHARE: f64 = 0.35;
+/// Part of the grace period that is reserved for the exit of the process.
+const PROCESS_EXIT_RESERVE: Duration = Duration::from_millis(400);
+/// Time for each background task to end before it is aborted.
+const TASK_STOP_TIMEOUT: Duration = Duration::from_millis(100);
+/// Minimum interval between log lines about unreadable heartbeats.
+const UNREADABLE_LOG_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum number of characters of a sender's name in a log line.
+const MAX_LOGGED_NAME_CHARS: usize = 100;
+
+/// Parses a plan in the operators' own format.
 pub type ReadPlan = fn(&[u8]) -> Result<Draft, Invalid>;
 
-/// How to run a node.
+/// Configuration of a node.
 #[derive(Clone)]
 pub struct Options {
-    /// For callers.
+    /// The address for callers.
     pub front: SocketAddrV4,
-    /// For other nodes, over TCP and UDP; the port is the same on all VMs.
+    /// The address for other nodes, over TCP and UDP. The port is the same on
+    /// all VMs.
     pub peers: SocketAddrV4,
-    /// Nodes to speak to first.
+    /// Nodes to contact first.
     pub seeds: Vec<Ipv4Addr>,
-    /// Where this VM is.
+    /// The data centre of this VM.
     pub data_centre: String,
-    /// The data folder of a member; without one this node only relays.
+    /// The data folder of a member of the log. Without a folder, the node is
+    /// not a member.
     pub folder: Option<PathBuf>,
-    /// Whether this node makes the cluster if its folder is empty.
+    /// Whether this node creates the cluster if its folder is empty.
     pub founds: bool,
-    /// Members that may lose their disks at once.
+    /// Number of members that may lose their disks at the same time.
     pub tolerance: usize,
-    /// This VM's link, in Mbit/s; 0 when not known.
+    /// Bandwidth of this VM's link in Mbit/s, or 0 if unknown.
     pub link_mbps: u32,
-    /// The data path.
+    /// Configuration of the gateway.
     pub gateway: gateway::Options,
-    /// What the leader does for the whole system.
+    /// Configuration of the duties, which the leader performs for the whole
+    /// system.
     pub duties: duty::Options,
-    /// The headers of the platform.
+    /// The platform's HTTP headers.
     pub dialect: Arc<dyn Dialect>,
-    /// The plan's format.
+    /// Parser for the operators' plan format.
     pub read_plan: ReadPlan,
-    /// The platform's interface for duties.
+    /// The platform's interface that duties call.
     pub cloud: Arc<dyn Cloud>,
 }
 
-/// A running node; clones share it.
+/// A handle to a running node. Clones refer to the same node.
 #[derive(Clone, Debug)]
 pub struct Handle {
     node: Arc<Node>,
 }
 
-/// What a node's parts share.
+/// State that a node's tasks share.
 struct Node {
     gateway: Arc<Gateway>,
     mesh: OnceLock<mesh::Handle>,
     seat: Option<seat::Handle>,
     control: Arc<Client>,
     read_plan: ReadPlan,
-    /// As the operator sent it; written with the gateway's plan.
-    source: Mutex<Option<Arc<PutPlan>>>,
-    fetching: AtomicBool,
-    /// Fetches in a row that took too long.
-    slow_fetches: AtomicU32,
-    /// It can tell others what replicas have cached.
+    /// The plan in force as it was committed, packed. It is replaced together
+    /// with the gateway's plan.
+    plan_record: Mutex<Option<Arc<PutPlan>>>,
+    is_fetching_plan: AtomicBool,
+    /// Number of consecutive plan fetches that timed out.
+    fetch_timeouts: AtomicU32,
+    /// Whether this node can tell other nodes what replicas have cached.
     knows_caches: AtomicBool,
-    /// When a line last told of an unreadable statement.
-    unreadable_told: Mutex<Option<Instant>>,
+    /// Time of the last log line about an unreadable heartbeat.
+    unreadable_logged_at: Mutex<Option<Instant>>,
     stopping: AtomicBool,
-    /// Ends the server for other nodes, its open connections too.
-    last: watch::Sender<bool>,
+    /// Set to true to stop the server for other nodes and close its
+    /// connections.
+    stop_peer_server: watch::Sender<bool>,
     front: SocketAddrV4,
     peer_port: u16,
     server: Mutex<Option<Server>>,
@@ -157,7 +166,7 @@
 ///
 /// # Errors
 ///
-/// When an address can't be bound.
+/// Returns an error if an address can't be bound.
 pub async fn spawn(options: Options) -> io::Result<Handle> {
     let timer = Timer::spawn();
     let gateway = Arc::new(Gateway::open(
@@ -174,7 +183,7 @@
         };
         seat::spawn(options, timer.clone())
     });
-    // Whoever founds the whole system is first: nothing has been used.
+    // The node that creates the cluster is the first: no quota is used yet.
     if !options.founds {
         gateway.start_joining_quotas();
     }
@@ -190,13 +199,13 @@
         seat: seat.clone(),
         control: Arc::new(control),
         read_plan: options.read_plan,
-        source: Mutex::new(None),
-        fetching: AtomicBool::new(false),
-        slow_fetches: AtomicU32::new(0),
+        plan_record: Mutex::new(None),
+        is_fetching_plan: AtomicBool::new(false),
+        fetch_timeouts: AtomicU32::new(0),
         knows_caches: AtomicBool::new(false),
-        unreadable_told: Mutex::new(None),
+        unreadable_logged_at: Mutex::new(None),
         stopping: AtomicBool::new(false),
-        last: watch::Sender::new(false),
+        stop_peer_server: watch::Sender::new(false),
         front: options.front,
         peer_port: port,
         server: Mutex::new(None),
@@ -243,8 +252,11 @@
         tasks.push(tokio::spawn(recall::save(node.clone(), folder)));
     }
     if let Some(seat) = &seat {
-        tasks.push(tokio::spawn(member::follow(node.clone(), seat.clone())));
-        tasks.push(tokio::spawn(member::ask_to_join(
+        tasks.push(tokio::spawn(member::apply_updates(
+            node.clone(),
+            seat.clone(),
+        )));
+        tasks.push(tokio::spawn(member::request_join(
             node.clone(),
             seat.clone(),
         )));
@@ -269,13 +281,14 @@
     Ok(Handle { node })
 }
 
-/// How long a node with so much time to stop goes on taking requests.
+/// Returns the time for which a stopping node accepts requests, given its
+/// grace period.
 ///
-/// Most of the grace period has to be left for their answers: a stream that
-/// was taken after three of eight seconds, and waited two for its replica, was
-/// cut off in the middle when the process had to end.
+/// Most of the grace period has to remain for the answers. A stream that was
+/// accepted three seconds into a grace period of eight, and waited two seconds
+/// for its replica, was cut off in the middle when the process had to exit.
 pub fn linger(grace: Duration) -> Duration {
-    LINGER.min(grace.mul_f64(LINGER_PART))
+    MAX_ACCEPT_DURATION.min(grace.mul_f64(MAX_ACCEPT_SHARE))
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
@@ -283,55 +296,61 @@
 }
 
 impl Handle {
-    /// True while callers should be sent here.
+    /// Returns true while callers should connect to this node.
     pub fn is_ready(&self) -> bool {
         self.node.is_ready()
     }
 
-    /// Where this node serves callers, until it stops.
+    /// Returns the address at which this node serves callers, or `None` once
+    /// it is stopping.
     pub fn front(&self) -> Option<SocketAddr> {
         lock(&self.node.server).as_ref().map(Server::address)
     }
 
-    /// Where callers in a data centre may connect: entries there, or any of
-    /// them where there are few or it isn't known.
+    /// Returns the addresses that callers in a data centre may connect to: the
+    /// entries there, or entries of all data centres if there are few or the
+    /// data centre is not known.
     pub fn entries(&self, near: Option<&str>) -> Vec<SocketAddrV4> {
         let node = &self.node;
         let now = node.gateway.timer.now();
         let port = node.front.port();
         let Some(mesh) = node.mesh.get() else { return Vec::new() };
-        let handed = mesh.table().caller_addresses(now, near);
-        handed.into_iter().map(|ip| SocketAddrV4::new(ip, port)).collect()
+        let addresses = mesh.table().caller_addresses(now, near);
+        addresses.into_iter().map(|ip| SocketAddrV4::new(ip, port)).collect()
     }
 
-    /// Takes a plan in the operators' format; returns once it is committed.
+    /// Submits a plan in the operators' format. Returns the version in force
+    /// once it is committed.
     ///
     /// # Errors
     ///
-    /// When it is invalid, or control did not take it or did not say.
+    /// Returns an error if the plan is invalid, or if control rejected it or
+    /// did not answer.
     pub async fn put_plan(&self, source: &[u8]) -> Result<u64, PutError> {
         self.node.put_plan(source).await
     }
 
-    /// The newest plan, read through the quorum; empty before the first.
+    /// Returns the newest plan, read through the quorum. It is empty before
+    /// the first plan is committed.
     ///
     /// # Errors
     ///
-    /// When no majority answers.
+    /// Returns an error if no majority answers.
     pub async fn read_plan(&self) -> Result<PutPlan, Error> {
-        let asked = Instant::now();
+        let started_at = Instant::now();
         let read = self.node.read_plan().await;
-        self.node.note_read(&read, asked.elapsed());
+        self.node.record_read(&read, started_at.elapsed());
         read
     }
 
-    /// A VM that hands a text of so many bytes to an operator sooner than
-    /// this one, if there is one and it matters.
+    /// Returns a VM that can send `bytes` bytes to an operator much faster
+    /// than this VM, if the transfer would take long here and such a VM is
+    /// known.
     pub fn faster_reader(&self, bytes: usize) -> Option<Ipv4Addr> {
         self.node.faster_reader(bytes)
     }
 
-    /// Takes what a replica says of itself.
+    /// Applies a replica's heartbeat.
     pub fn sight(&self, says: Sighting) {
         let node = &self.node;
         let Some(mesh) = node.mesh.get() else { return };
@@ -348,30 +367,37 @@
                 replica = id, state, leaves_ms, former,
                 "Replica changed."
             );
-            // Refreshed before the replica has its answer: from then on it
-            // counts on getting no new work if it said that it leaves.
+            // The fleet is refreshed before the replica gets its answer: a
+            // replica that announced its departure relies on receiving no new
+            // requests from then on.
             node.gateway.refresh();
             mesh.request_urgent_round();
         }
     }
 
-    /// Notes a statement that names no replica to use: whose, and why.
+    /// Counts and logs a heartbeat that does not describe a usable replica:
+    /// who sent it and why it is unreadable.
     ///
-    /// At most a line a second: another writer may send any number.
+    /// Logs at most one line a second, because a faulty sender may send any
+    /// number of them.
     pub fn note_unreadable(&self, whose: &str, why: &dyn fmt::Display) {
         let node = &self.node;
         let unreadable = node.gateway.metrics.unreadable.inc() + 1;
         let now = Instant::now();
-        let mut told = lock(&node.unreadable_told);
-        if told.is_some_and(|at| now < at + UNREADABLE_PAUSE) {
+        let mut logged_at = lock(&node.unreadable_logged_at);
+        if logged_at.is_some_and(|at| now < at + UNREADABLE_LOG_INTERVAL) {
             return;
         }
-        *told = Some(now);
-        let whose: String = whose.chars().take(NAMED).collect();
-        warn!(target: "node", whose, unreadable, "Unreadable: {why}.");
+        *logged_at = Some(now);
+        let whose: String =
+            whose.chars().take(MAX_LOGGED_NAME_CHARS).collect();
+        warn!(
+            target: "node", whose, unreadable,
+            "Unreadable heartbeat: {why}."
+        );
     }
 
-    /// Takes new seeds.
+    /// Replaces the seeds.
     pub fn set_seeds(&self, seeds: Vec<Ipv4Addr>) {
         if let Some(mesh) = self.node.mesh.get() {
             info!(target: "node", "New seeds: {seeds:?}.");
@@ -379,28 +405,31 @@
         }
     }
 
-    /// Parts of prompts that replicas are known to have cached.
+    /// Returns the number of prompt parts that replicas are known to have
+    /// cached.
     pub fn cached_parts(&self) -> usize {
         self.node.gateway.cached().len()
     }
 
-    /// What the node has counted, for Prometheus.
+    /// Returns the node's metrics in Prometheus' text format.
     pub fn metrics(&self) -> String {
         self.node.gateway.metrics.encode()
     }
 
-    /// Stops in order, within `grace`; see the module head.
+    /// Shuts the node down within `grace`, as described at the head of the
+    /// module.
     pub async fn shutdown(self, grace: Duration) {
         let node = &self.node;
-        let end = Instant::now() + grace.saturating_sub(LAST_WORDS);
-        info!(target: "node", "Stops: no longer handed out.");
+        let end = Instant::now() + grace.saturating_sub(PROCESS_EXIT_RESERVE);
+        info!(target: "node", "Stopping: address withdrawn from callers.");
         node.stopping.store(true, Ordering::Relaxed);
-        node.say_serving();
+        node.announce_serving();
         let server = lock(&node.server).take();
         if let Some(server) = &server {
             server.close_after_answers();
         }
-        // Duties first: a successor waits for this node's lease to run out.
+        // Duties stop first, because a successor only waits until this node's
+        // lease has expired.
         *lock(&node.duties) = None;
         sleep(linger(grace)).await;
         if let Some(server) = server {
@@ -410,10 +439,10 @@
         if let Some(seat) = &node.seat {
             seat.stop().await;
         }
-        let _ = node.last.send_replace(true);
+        let _ = node.stop_peer_server.send_replace(true);
         let tasks: Vec<JoinHandle<()>> = lock(&node.tasks).drain(..).collect();
         for mut task in tasks {
-            if timeout(PEERS_END, &mut task).await.is_err() {
+            if timeout(TASK_STOP_TIMEOUT, &mut task).await.is_err() {
                 task.abort();
             }
         }
@@ -431,11 +460,12 @@
     }
 
     fn has_stopped(&self) -> bool {
-        *self.last.borrow()
+        *self.stop_peer_server.borrow()
     }
 
-    /// Tells the others whether this node serves.
-    fn say_serving(&self) {
+    /// Announces to the other nodes whether this node serves, and the version
+    /// of its plan.
+    fn announce_serving(&self) {
         let ready = self.is_ready();
         let version = self.gateway.plan_version();
         if let Some(mesh) = self.mesh.get() {
@@ -447,15 +477,16 @@
         }
     }
 
-    /// Takes over what the mesh says of leader, members and plans.
-    fn follow_mesh(self: &Arc<Node>) {
+    /// Applies what the mesh reports of the leader, the members and newer
+    /// plans.
+    fn apply_mesh_reports(self: &Arc<Node>) {
         let Some(mesh) = self.mesh.get() else { return };
         let now = self.gateway.timer.now();
         let mut members = Vec::new();
         let mut newer = false;
         let leader = {
             let mut table = mesh.table();
-            let mut best =
+            let mut leadership =
                 (table.own_peer().leader_term, table.own_peer().leader);
             for node in table.live(now) {
                 let says = &node.peer;
@@ -463,7 +494,8 @@
                     members.push((node.ip(), self.peer_port).into());
                 }
                 if says.leader != 0 {
-                    best = best.max((says.leader_term, says.leader));
+                    leadership =
+                        leadership.max((says.leader_term, says.leader));
                 }
                 newer |= says.plan_version > self.gateway.plan_version();
             }
@@ -472,14 +504,14 @@
                 members.push((ip, self.peer_port).into());
             }
             (table.own_peer_mut().leader_term, table.own_peer_mut().leader) =
-                best;
-            best.1
+                leadership;
+            leadership.1
         };
         self.control.set_members(&members);
         if leader != 0 {
             self.control.prefer_once(seat::address_of(leader).into());
         }
-        if newer && !self.fetching.swap(true, Ordering::Relaxed) {
+        if newer && !self.is_fetching_plan.swap(true, Ordering::Relaxed) {
             tokio::spawn(plan::fetch_newer(self.clone()));
         }
     }
@@ -512,16 +544,17 @@
     }
 
     fn on_changes(self: Arc<Self>, changes: Changes) {
-        // Who leaves must get nothing more from now on. Replicas that appear
-        // can wait a moment for others: a thousand of them may start at once.
-        let appears = changes.replicas || changes.nodes;
-        match appears && !changes.departures {
+        // A leaving replica must not get requests from now on, so the fleet is
+        // refreshed at once. New replicas can wait until several have
+        // appeared: a thousand of them may start at the same time.
+        let has_new = changes.replicas || changes.nodes;
+        match has_new && !changes.departures {
             true => self.gateway.refresh_soon(),
             false => self.gateway.refresh(),
         }
-        self.follow_mesh();
+        self.apply_mesh_reports();
         if changes.became_active {
-            // It was told little while it stood by.
+            // A node on standby receives few reports.
             self.gateway.settle_quota_use();
             tokio::spawn(recall::learn(self, None));
         }
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -1,4 +1,5 @@
-//! What nodes ask each other over TCP: plans, and the log's own messages.
+//! The TCP server for other nodes: plans, caches, replicas, quota use, and the
+//! messages of the log.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -18,18 +19,19 @@
     },
 };
 
-/// Serves other nodes until this one stops.
+/// Serves other nodes until this node stops.
 pub(super) async fn serve(node: Arc<Node>, listener: TcpListener) {
-    // Nothing is compressed here. Plans are packed when they are put: doing it
-    // for each of seventy nodes that fetch one kept a leader busy for two
-    // seconds, until it no longer led. Hashes don't get shorter.
+    // The transport does not compress. Plans are packed once, when they are
+    // submitted: compressing a plan for each of seventy nodes that fetched it
+    // kept a leader busy for two seconds, and it lost its leadership. The
+    // hashes in the other answers are not compressible.
     let nodes = NodesServer::new(PeerService { node: node.clone() })
         .max_encoding_message_size(MESSAGE_LIMIT);
     let seat = node.seat.clone().map(Service::of_seat);
-    let mut last = node.last.subscribe();
+    let mut stop_signal = node.stop_peer_server.subscribe();
     let stop = async move {
-        // The sender lives as long as the node.
-        let _ = last.wait_for(|last| *last).await;
+        // Never fails: `node` owns the sender.
+        let _ = stop_signal.wait_for(|stops| *stops).await;
     };
     let served = tonic::transport::Server::builder()
         .http2_keepalive_interval(Some(Duration::from_secs(5)))
@@ -43,11 +45,11 @@
         )
         .await;
     if let Err(error) = served {
-        warn!(target: "node", "The server for peers ended: {error}.");
+        warn!(target: "node", "Server for other nodes failed: {error}.");
     }
 }
 
-/// What other nodes may ask.
+/// Answers other nodes' calls.
 struct PeerService {
     node: Arc<Node>,
 }
@@ -58,8 +60,8 @@
         &self,
         _: Request<Empty>,
     ) -> Result<Response<PutPlan>, Status> {
-        let held = lock(&self.node.source).clone();
-        match held {
+        let record = lock(&self.node.plan_record).clone();
+        match record {
             Some(plan) => Ok(Response::new(PutPlan::clone(&plan))),
             None => Err(Status::not_found("no plan here yet")),
         }
--- a/src/node/plan.rs
+++ b/src/node/plan.rs
@@ -1,4 +1,5 @@
-//! Plans at one node: taken from operators, read back, fetched from others.
+//! Plans at a node: submitting them to the log, reading them back, and
+//! fetching them from other nodes.
 
 use std::{
     fmt,
@@ -29,39 +30,41 @@
     },
 };
 
-/// How long an operator's change may take. Operators go on to another node
-/// after a second or so; by then the change is decided or will be soon.
-const PUT_LIMIT: Duration = Duration::from_millis(2500);
-/// How long a read through the quorum may take, for the same reason.
-const READ_LIMIT: Duration = Duration::from_millis(800);
-/// An operator is sent to another VM where a text would take longer over this
-/// one's link, in ms. Operators wait for a second, and callers' answers need
-/// the link as well.
-const LONG_ANSWER_MS: u64 = 200;
-/// So many times wider a link has to be to send an operator there.
-const WIDER: u32 = 2;
-/// How long fetching a plan from a peer may take at first; a packed plan of
-/// 0.8 MB takes 60 ms over ten megabits.
-const FETCH_LIMIT: Duration = Duration::from_millis(1000);
-/// How often that is doubled, as a plan may take longer than the limit: eight
-/// seconds at most, so that a silent peer is not waited for forever.
-const FETCH_DOUBLINGS: u32 = 3;
-/// For each other node, over how much time the fetches of a new plan are
-/// spread. A node with 100 Mbit/s hands out a packed plan of 0.8 MB in 6 ms,
-/// and several do.
-const SPREAD: Duration = Duration::from_millis(2);
-/// How often a node looks for somebody else than the leader to fetch from:
-/// the other members hear of a commit with the leader's next heartbeat.
-const LOOKS: u32 = 4;
-/// Between two such looks.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
+/// Timeout of an operator's change. Operators try another node after about a
+/// second; by then the change is decided or soon will be.
+const PUT_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Timeout of a read through the quorum, for the same reason.
+const READ_TIMEOUT: Duration = Duration::from_millis(800);
+/// Maximum time to send a plan to an operator over this VM's link, in ms. For
+/// a longer transfer the operator is redirected to another VM. Operators wait
+/// for a second, and callers' answers need the link as well.
+const MAX_ANSWER_TRANSFER_MS: u64 = 200;
+/// Minimum ratio of another VM's bandwidth to this VM's for operators to be
+/// redirected there.
+const MIN_BANDWIDTH_RATIO: u32 = 2;
+/// Initial timeout of a plan fetch from a peer. A packed plan of 0.8 MB takes
+/// 60 ms over ten megabits.
+const INITIAL_FETCH_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Maximum number of times that the fetch timeout is doubled, because a plan
+/// may take longer than the initial timeout. The timeout is eight seconds at
+/// most, so that a node does not wait forever for a silent peer.
+const MAX_FETCH_TIMEOUT_DOUBLINGS: u32 = 3;
+/// Time over which the fetches of a new plan are spread, for each other node.
+/// A node with 100 Mbit/s sends a packed plan of 0.8 MB in 6 ms, and several
+/// nodes send it at the same time.
+const FETCH_SPREAD_PER_NODE: Duration = Duration::from_millis(2);
+/// Maximum number of checks for a peer other than the leader to fetch from.
+/// The other members learn of a commit with the leader's next heartbeat.
+const MAX_HOLDER_CHECKS: u32 = 4;
+/// Interval between these checks.
+const HOLDER_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Why a plan was not put in force, as far as known.
+/// The reason why a plan is not known to be in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PutError {
-    /// It is wrong, and will be whenever it is sent.
+    /// The plan is invalid. Sending it again fails in the same way.
     Invalid(Invalid),
-    /// Control did not take it, or did not say.
+    /// Control rejected the plan or did not answer.
     Away(Verdict, String),
 }
 
@@ -80,47 +83,47 @@
 
 impl Node {
     pub(super) async fn read_plan(&self) -> Result<PutPlan, Error> {
-        let held = lock(&self.source).clone().unwrap_or_default();
-        let asked = PlanQuery { held: held.version };
-        let query = Query { kind: Some(query::Kind::Plan(asked)) };
-        let reply = self.control.read(query, READ_LIMIT).await?;
+        let held = lock(&self.plan_record).clone().unwrap_or_default();
+        let plan_query = PlanQuery { held: held.version };
+        let query = Query { kind: Some(query::Kind::Plan(plan_query)) };
+        let reply = self.control.read(query, READ_TIMEOUT).await?;
         let Some(query_reply::Kind::Plan(plan)) = reply.kind else {
             return Err(Error::Refused("unexpected reply".to_owned()));
         };
-        // A version stands for one text, so what is held here is what the
-        // leader left out.
-        let same = plan.version == held.version && plan.source.is_empty();
-        let kept = if same { &held.source } else { &plan.source };
-        let source = packing::unpack(kept)
+        // A version identifies one text, so the text that the leader omitted
+        // is the text that this node holds.
+        let is_held = plan.version == held.version && plan.source.is_empty();
+        let packed = if is_held { &held.source } else { &plan.source };
+        let source = packing::unpack(packed)
             .map_err(|error| Error::Refused(error.to_string()))?
             .into_owned();
         Ok(PutPlan { version: plan.version, source })
     }
 
-    /// See [`super::Handle::faster_reader`]: the leader, which has just named
-    /// the newest plan, if its link is wider by far.
+    /// See [`super::Handle::faster_reader`]. Returns the leader, which has
+    /// just confirmed the newest plan, if its link is fast enough.
     ///
-    /// Symptom without it: a plan of a megabyte can be read at VMs with wide
-    /// links only, and one in fifteen has one. It is held everywhere, but
-    /// takes a second over ten megabits.
+    /// Without the redirect, operators can read a plan of a megabyte only at
+    /// VMs with fast links, which are one in fifteen. Every node holds the
+    /// plan, but sending it takes a second over ten megabits.
     pub(super) fn faster_reader(&self, bytes: usize) -> Option<Ipv4Addr> {
         let table = self.mesh.get()?.table();
         let own = table.own_peer();
         let bits = bytes as u64 * 8;
-        let takes_ms = bits / (u64::from(own.link_mbps).max(1) * 1000);
-        if own.link_mbps == 0 || takes_ms <= LONG_ANSWER_MS {
+        let transfer_ms = bits / (u64::from(own.link_mbps).max(1) * 1000);
+        if own.link_mbps == 0 || transfer_ms <= MAX_ANSWER_TRANSFER_MS {
             return None;
         }
         let leader = u32::from(*seat::address_of(own.leader).ip());
-        let wide = |node: &&table::Node| {
+        let is_faster_leader = |node: &&table::Node| {
             node.peer.ip == leader
-                && node.peer.link_mbps >= WIDER * own.link_mbps
+                && node.peer.link_mbps >= MIN_BANDWIDTH_RATIO * own.link_mbps
         };
         let now = self.gateway.timer.now();
-        table.live(now).find(wide).map(table::Node::ip)
+        table.live(now).find(is_faster_leader).map(table::Node::ip)
     }
 
-    pub(super) fn note_read(
+    pub(super) fn record_read(
         &self,
         read: &Result<PutPlan, Error>,
         after: Duration,
@@ -151,13 +154,13 @@
         &self,
         source: &[u8],
     ) -> Result<u64, PutError> {
-        let asked = Instant::now();
+        let started_at = Instant::now();
         let draft = (self.read_plan)(source).map_err(PutError::Invalid)?;
         let plan = Plan::check(draft).map_err(PutError::Invalid)?;
         let version = plan.version();
         let record = PutPlan { version, source: packing::pack(source) };
         let change = Change::new(change::Kind::PutPlan(record));
-        let outcome = self.control.propose(change, PUT_LIMIT, true).await;
+        let outcome = self.control.propose(change, PUT_TIMEOUT, true).await;
         let outcome = outcome.map_err(|error| {
             PutError::Away(error.verdict(), error.to_string())
         })?;
@@ -170,7 +173,7 @@
                     plan = version,
                     held,
                     bytes = source.len(),
-                    after_ms = asked.elapsed().as_millis() as u64,
+                    after_ms = started_at.elapsed().as_millis() as u64,
                     "Plan accepted."
                 );
                 Ok(held)
@@ -182,7 +185,7 @@
         }
     }
 
-    /// Puts a committed plan in force, if it is newer.
+    /// Puts a committed plan in force if it is newer than the plan in force.
     pub(super) fn adopt(&self, record: Arc<PutPlan>) {
         if record.version <= self.gateway.plan_version() {
             return;
@@ -194,102 +197,109 @@
             .and_then(Plan::check);
         match read {
             Ok(plan) => {
-                *lock(&self.source) = Some(record);
+                *lock(&self.plan_record) = Some(record);
                 self.gateway.set_plan(plan);
-                self.say_serving();
+                self.announce_serving();
             }
-            // It was checked before it was committed, so this is a node of
-            // another version. It goes on with the plan that it can read.
+            // The plan was checked before it was committed, so this node runs
+            // another version of the program. It keeps the plan that it has.
             Err(invalid) => warn!(
                 target: "node",
                 plan = record.version,
-                "Can't read a committed plan: {invalid}."
+                "Committed plan not readable: {invalid}."
             ),
         }
     }
 }
 
-/// Fetches a newer plan from one of those that name it, after a random pause.
+/// Fetches a newer plan from a peer that reports it, after a random delay.
 ///
-/// The leader is the first to name it. Without the pause seventy nodes asked
-/// it within milliseconds: its heartbeats waited behind the plans that it sent,
-/// and the others elected another leader, which met the same.
+/// The leader is the first to report a new plan. Without the delay, seventy
+/// nodes fetched it from the leader within milliseconds. The leader's
+/// heartbeats waited behind the plans that it sent, the other members elected
+/// another leader, and that leader was overloaded in the same way.
 pub(super) async fn fetch_newer(node: Arc<Node>) {
-    sleep(spread(&node)).await;
-    for look in 1..=LOOKS {
-        let (others, leader) = holders(&node);
-        // Any of them: the one with the newest may just be stopping.
+    sleep(random_fetch_delay(&node)).await;
+    for check in 1..=MAX_HOLDER_CHECKS {
+        let (others, leader) = find_plan_holders(&node);
+        // A random peer, because the one with the newest plan may be stopping.
         let from = others.choose(&mut rand::rng()).copied();
-        let last = look == LOOKS || !has_other_members(&node);
-        match from.or(leader.filter(|_| last)) {
+        let use_leader =
+            check == MAX_HOLDER_CHECKS || !has_several_members(&node);
+        match from.or(leader.filter(|_| use_leader)) {
             Some(from) => return fetch(node, from).await,
-            // It has come in through this node's own member.
+            // This node's own member has committed the plan meanwhile.
             None if leader.is_none() => break,
-            None => sleep(LOOK_PAUSE).await,
+            None => sleep(HOLDER_CHECK_INTERVAL).await,
         }
     }
-    node.fetching.store(false, Ordering::Relaxed);
+    node.is_fetching_plan.store(false, Ordering::Relaxed);
 }
 
-fn spread(node: &Node) -> Duration {
+fn random_fetch_delay(node: &Node) -> Duration {
     let Some(mesh) = node.mesh.get() else { return Duration::ZERO };
     let now = node.gateway.timer.now();
     let others = mesh.table().live(now).count();
-    (SPREAD * others as u32).mul_f64(rand::random())
+    (FETCH_SPREAD_PER_NODE * others as u32).mul_f64(rand::random())
 }
 
-/// Who names a newer plan: all but the leader, and the leader.
-fn holders(node: &Node) -> (Vec<Ipv4Addr>, Option<Ipv4Addr>) {
+/// Returns the live peers that report a newer plan: first all but the leader,
+/// then the leader if it is among them.
+fn find_plan_holders(node: &Node) -> (Vec<Ipv4Addr>, Option<Ipv4Addr>) {
     let Some(mesh) = node.mesh.get() else { return (Vec::new(), None) };
     let table = mesh.table();
     let held = node.gateway.plan_version();
     let leader = *seat::address_of(table.own_peer().leader).ip();
     let now = node.gateway.timer.now();
-    let newer = table.live(now).filter(|one| one.peer.plan_version > held);
+    let newer = table.live(now).filter(|peer| peer.peer.plan_version > held);
     let (leader, others): (Vec<_>, Vec<_>) =
         newer.map(table::Node::ip).partition(|ip| *ip == leader);
     (others, leader.first().copied())
 }
 
-fn has_other_members(node: &Node) -> bool {
+fn has_several_members(node: &Node) -> bool {
     let Some(mesh) = node.mesh.get() else { return false };
     let table = mesh.table();
     let now = node.gateway.timer.now();
-    table.live(now).filter(|one| one.peer.has_disk).count() > 1
+    table.live(now).filter(|peer| peer.peer.has_disk).count() > 1
 }
 
-/// Fetches a plan from a peer.
+/// Fetches a plan from a peer and puts it in force if it is newer.
 pub(super) async fn fetch(node: Arc<Node>, from: Ipv4Addr) {
     let address = SocketAddr::from((from, node.peer_port));
     let mut client = NodesClient::new(connect(address))
         .max_decoding_message_size(MESSAGE_LIMIT);
-    let asked = Instant::now();
-    // What takes too long once takes too long each time; a fixed limit would
-    // keep a long plan from a node with a narrow link for good.
-    let slow = node.slow_fetches.load(Ordering::Relaxed);
-    let limit = FETCH_LIMIT * (1 << slow.min(FETCH_DOUBLINGS));
+    let started_at = Instant::now();
+    // A transfer that exceeds a fixed timeout exceeds it each time, so a node
+    // with a slow link would never get a large plan.
+    let timeouts = node.fetch_timeouts.load(Ordering::Relaxed);
+    let limit = INITIAL_FETCH_TIMEOUT
+        * (1 << timeouts.min(MAX_FETCH_TIMEOUT_DOUBLINGS));
     match timeout(limit, client.fetch(Empty {})).await {
         Ok(Ok(reply)) => {
-            node.slow_fetches.store(0, Ordering::Relaxed);
+            node.fetch_timeouts.store(0, Ordering::Relaxed);
             let plan = reply.into_inner();
             info!(
                 target: "node",
                 plan = plan.version,
                 bytes = plan.source.len(),
-                after_ms = asked.elapsed().as_millis() as u64,
-                "Plan from {from}."
+                after_ms = started_at.elapsed().as_millis() as u64,
+                "Plan fetched from {from}."
             );
             node.adopt(Arc::new(plan));
         }
         Ok(Err(status)) => {
             let text = status.message();
-            warn!(target: "node", "No plan from {from}: {text}.");
+            warn!(target: "node", "Plan not fetched from {from}: {text}.");
         }
         Err(_) => {
-            node.slow_fetches.fetch_add(1, Ordering::Relaxed);
+            node.fetch_timeouts.fetch_add(1, Ordering::Relaxed);
             let limit_ms = limit.as_millis() as u64;
-            warn!(target: "node", limit_ms, "No plan from {from}: silent.");
+            warn!(
+                target: "node", limit_ms,
+                "Plan not fetched from {from}: timed out."
+            );
         }
     }
-    node.fetching.store(false, Ordering::Relaxed);
+    node.is_fetching_plan.store(false, Ordering::Relaxed);
 }
--- a/src/node/recall.rs
+++ b/src/node/recall.rs
@@ -1,14 +1,15 @@
-//! How a node that starts learns which replicas there are, and what they
-//! have cached.
+//! Restores a starting node's knowledge of the replicas and of what they have
+//! cached.
 //!
-//! It asks another node. When all have started at the same time nobody can
-//! tell; so nodes with a disk write what they know to it now and then, and
-//! tell that. What is lost or out of date costs some reading or an attempt at
-//! a replica that has gone, nothing else.
+//! The node asks another node. If all nodes have started at the same time, the
+//! others don't know either. So nodes with a disk regularly save what they
+//! know and answer from what they have saved. Lost or outdated knowledge costs
+//! only some prompt computation, or an attempt at a replica that has stopped.
 //!
-//! Replicas come first, as requests wait for them. With a data centre's power
-//! back, nodes serve 0.1 s after their start instead of 0.3 to 0.9 s, when
-//! the heartbeats of all replicas have come in one by one.
+//! Replicas are learned first, because requests wait for them. When the power
+//! of a data centre returns, nodes serve 0.1 s after their start. Without this
+//! module they would serve after 0.3 to 0.9 s, when the heartbeats of all
+//! replicas have arrived one by one.
 
 use std::{
     fs::{self, File},
@@ -34,112 +35,129 @@
     },
 };
 
-/// Before each attempt to ask another node: a few are known by then.
-const PAUSE: Duration = Duration::from_millis(250);
-/// Before each attempt to ask for plan and replicas: a few datagrams' way. Requests are
-/// refused for as long as none is known.
-const SHORT_PAUSE: Duration = Duration::from_millis(40);
-/// Attempts to ask for them; gossip and heartbeats bring both meanwhile.
-const FIRST_ATTEMPTS: usize = 20;
-/// How long one of them may take: some kB over ten megabits.
-const FIRST_LIMIT: Duration = Duration::from_millis(300);
-/// What was written longer ago is not believed, in ms: replicas live for
-/// minutes, and clocks differ by some seconds after a loss of power.
-const MEMORY_LIMIT_MS: u64 = 30_000;
-/// Attempts, half of them at nodes with a disk.
-const ATTEMPTS: usize = 8;
-/// How long one attempt may take: some hundred kB over ten megabits, and a
-/// dozen nodes that ask the same one.
-const LIMIT: Duration = Duration::from_millis(1500);
-/// Between two writes: what was sent to replicas in between is lost with all
-/// nodes at once.
-const SAVE: Duration = Duration::from_secs(2);
+/// Delay before each further attempt to fetch the cache contents. By then a
+/// few nodes are known.
+const FETCH_INTERVAL: Duration = Duration::from_millis(250);
+/// Delay before each attempt to fetch the plan, the replicas and the quota
+/// use: the travel time of a few datagrams. Requests are refused until a plan
+/// and replicas are known.
+const INITIAL_FETCH_INTERVAL: Duration = Duration::from_millis(40);
+/// Maximum number of attempts to fetch them. Gossip and heartbeats deliver
+/// plan and replicas as well.
+const MAX_INITIAL_FETCHES: usize = 20;
+/// Timeout of one of these calls: enough for some kB over ten megabits.
+const INITIAL_FETCH_TIMEOUT: Duration = Duration::from_millis(300);
+/// Maximum age of saved memory that is restored, in ms. Replicas run for
+/// minutes, and clocks differ by some seconds after a power loss.
+const MAX_MEMORY_AGE_MS: u64 = 30_000;
+/// Maximum number of attempts to fetch the cache contents. Every second
+/// attempt is restricted to nodes with a disk.
+const MAX_CACHE_FETCHES: usize = 8;
+/// Timeout of one such attempt: enough for some hundred kB over ten megabits,
+/// while a dozen nodes ask the same node.
+const CACHE_FETCH_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Interval between writes of the memory file. If all nodes stop at once, the
+/// knowledge of prompts sent to replicas since the last write is lost.
+const SAVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Learns what others know, and tells when this node knows as much.
+/// Restores this node's knowledge from its disk and from other nodes, and
+/// marks its cache contents as known when that is done.
 pub(super) async fn learn(node: Arc<Node>, folder: Option<PathBuf>) {
     if let Some(folder) = folder {
-        match read(&folder) {
-            Ok(memory) => remember(&node, memory),
+        match read_memory(&folder) {
+            Ok(memory) => apply_memory(&node, memory),
             Err(error) if error.kind() == io::ErrorKind::NotFound => {}
             Err(error) => {
-                warn!(target: "node", "No memory from the disk: {error}.");
+                warn!(target: "node", "Saved memory not read: {error}.");
             }
         }
     }
-    learn_first(&node).await;
-    for attempt in 0..ATTEMPTS {
+    learn_initial_state(&node).await;
+    for attempt in 0..MAX_CACHE_FETCHES {
         if attempt > 0 {
-            sleep(PAUSE).await;
+            sleep(FETCH_INTERVAL).await;
         }
-        let Some(from) = choose(&node, attempt % 2 == 0) else { continue };
-        match timeout(LIMIT, ask(&node, from)).await {
+        let Some(from) = pick_peer(&node, attempt % 2 == 0) else { continue };
+        match timeout(CACHE_FETCH_TIMEOUT, fetch_caches(&node, from)).await {
             Ok(Ok(caches)) if caches.whole => {
-                return take(&node, &caches, &from.to_string());
+                return apply_caches(&node, &caches, &from.to_string());
             }
             Ok(Ok(_)) => {}
             Ok(Err(status)) => {
                 let text = status.message();
-                warn!(target: "node", "No caches from {from}: {text}.");
+                warn!(
+                    target: "node",
+                    "Cache contents not fetched from {from}: {text}."
+                );
             }
             Err(_) => {
-                warn!(target: "node", "No caches from {from}: silent.");
+                warn!(
+                    target: "node",
+                    "Cache contents not fetched from {from}: timed out."
+                );
             }
         }
     }
-    // Nobody knows more than what all were told since.
+    // No reachable node knows more than what this node has received since.
     node.knows_caches.store(true, Ordering::Relaxed);
 }
 
-/// Takes what this node wrote before it started.
-fn remember(node: &Node, memory: Memory) {
-    remember_crashes(node, &memory);
+/// Applies the memory that this node saved before it was restarted.
+fn apply_memory(node: &Node, memory: Memory) {
+    apply_saved_crashes(node, &memory);
     let levels = memory.levels.clone();
     let old_ms = wall_ms().abs_diff(memory.wall_ms);
-    if old_ms > MEMORY_LIMIT_MS {
-        info!(target: "node", old_ms, "What the disk remembers is too old.");
+    if old_ms > MAX_MEMORY_AGE_MS {
+        info!(
+            target: "node", old_ms,
+            "Saved memory too old: only crashes restored."
+        );
         return;
     }
-    take_replicas(node, memory.replicas, "the disk", |says| Sighting {
+    apply_replicas(node, memory.replicas, "the disk", |report| Sighting {
         remembered: true,
-        ..says
+        ..report
     });
-    take(node, &memory.caches.unwrap_or_default(), "the disk");
+    apply_caches(node, &memory.caches.unwrap_or_default(), "the disk");
     if let Some(levels) = levels {
         node.gateway.receive_quota_levels(levels, "the disk");
     }
 }
 
-/// Takes what this node knew of requests that may have ended replicas, however
-/// long ago it was written: the quarantine itself knows how long it lasts.
-fn remember_crashes(node: &Node, memory: &Memory) {
-    // A clock that has jumped back makes it seem newer than it is.
+/// Applies the saved reports of requests that may have crashed replicas,
+/// regardless of their age, because the quarantine expires them itself.
+fn apply_saved_crashes(node: &Node, memory: &Memory) {
+    // If the wall clock has jumped back, the reports seem newer than they are.
     let old_ms = wall_ms().saturating_sub(memory.wall_ms);
     let old_ms = old_ms.min(u32::MAX.into()) as u32;
     let crashes: Vec<Crash> = memory
         .crashes
         .iter()
-        .map(|one| Crash { age_ms: one.age_ms.saturating_add(old_ms), ..*one })
+        .map(|crash| Crash {
+            age_ms: crash.age_ms.saturating_add(old_ms),
+            ..*crash
+        })
         .collect();
     node.gateway.receive_crash_reports(&crashes, &[], false);
 }
 
-/// Asks others for the plan, the replicas and what is left of quotas until all
-/// are known.
+/// Fetches the plan, the replicas and the quota use from other nodes until all
+/// three are known.
 ///
-/// Gossip brings the plan as well, but at the next round where a datagram is
-/// lost or its sender knew none yet.
-async fn learn_first(node: &Arc<Node>) {
+/// Gossip also announces the plan, but only in the next round if a datagram is
+/// lost or its sender had no plan yet.
+async fn learn_initial_state(node: &Arc<Node>) {
     let mut knows_replicas = false;
     let mut knows_levels = false;
-    for attempt in 0..FIRST_ATTEMPTS {
+    for attempt in 0..MAX_INITIAL_FETCHES {
         let knows_plan = node.gateway.plan_version() > 0;
         if knows_replicas && knows_levels && knows_plan {
             return;
         }
-        sleep(SHORT_PAUSE).await;
-        let Some(from) = choose(node, attempt % 2 == 0) else { continue };
+        sleep(INITIAL_FETCH_INTERVAL).await;
+        let Some(from) = pick_peer(node, attempt % 2 == 0) else { continue };
         if node.gateway.plan_version() == 0
-            && !node.fetching.swap(true, Ordering::Relaxed)
+            && !node.is_fetching_plan.swap(true, Ordering::Relaxed)
         {
             tokio::spawn(plan::fetch(node.clone(), from));
         }
@@ -152,10 +170,11 @@
     }
 }
 
-/// Asks another node what is left of quotas; true when it knew.
+/// Fetches the quota use from another node. Returns true if that node knew it.
 async fn learn_levels(node: &Node, from: Ipv4Addr) -> bool {
-    let answer = timeout(FIRST_LIMIT, ask_levels(node, from)).await;
-    match answered(answer, "quotas", from) {
+    let answer =
+        timeout(INITIAL_FETCH_TIMEOUT, fetch_levels(node, from)).await;
+    match log_err(answer, "quotas", from) {
         Some(known) if !known.levels.is_empty() => {
             node.gateway.receive_quota_levels(known, &from.to_string());
             true
@@ -164,18 +183,20 @@
     }
 }
 
-/// Asks another node for the replicas; true when it knew.
+/// Fetches the replicas from another node, and its crash and rate limit
+/// reports. Returns true if that node's knowledge was complete.
 async fn learn_replicas(node: &Node, from: Ipv4Addr) -> bool {
-    let answer = timeout(FIRST_LIMIT, ask_replicas(node, from)).await;
-    let Some(known) = answered(answer, "replicas", from) else { return false };
+    let answer =
+        timeout(INITIAL_FETCH_TIMEOUT, fetch_replicas(node, from)).await;
+    let Some(known) = log_err(answer, "replicas", from) else { return false };
     node.gateway.receive_crash_reports(&known.crashes, &[], false);
     node.gateway.receive_rate_limits(&known.limits);
-    take_replicas(node, known.replicas, &from.to_string(), |says| says);
+    apply_replicas(node, known.replicas, &from.to_string(), |report| report);
     known.whole
 }
 
-/// What a node answered; logs why it did not.
-fn answered<T>(
+/// Returns a node's answer, or logs why there is none.
+fn log_err<T>(
     answer: Result<Result<T, tonic::Status>, Elapsed>,
     what: &str,
     from: Ipv4Addr,
@@ -184,54 +205,63 @@
         Ok(Ok(known)) => Some(known),
         Ok(Err(status)) => {
             let text = status.message();
-            info!(target: "node", "No {what} from {from}: {text}.");
+            info!(target: "node", "No {what} received from {from}: {text}.");
             None
         }
         Err(_) => {
-            info!(target: "node", "No {what} from {from}: silent.");
+            info!(
+                target: "node",
+                "No {what} received from {from}: timed out."
+            );
             None
         }
     }
 }
 
-fn take_replicas(
+fn apply_replicas(
     node: &Node,
     replicas: Vec<Sighting>,
     from: &str,
     change: impl Fn(Sighting) -> Sighting,
 ) {
     let Some(mesh) = node.mesh.get() else { return };
-    info!(target: "node", replicas = replicas.len(), "Replicas from {from}.");
+    info!(
+        target: "node", replicas = replicas.len(),
+        "Replicas received from {from}."
+    );
     let now = node.gateway.timer.now();
-    for says in replicas {
-        mesh.table().apply_sighting(now, change(says), false);
+    for sighting in replicas {
+        mesh.table().apply_sighting(now, change(sighting), false);
     }
     node.gateway.refresh();
 }
 
-fn take(node: &Node, caches: &Caches, from: &str) {
+fn apply_caches(node: &Node, caches: &Caches, from: &str) {
     let parts = caches.cached.len();
-    info!(target: "node", parts, "Knows caches from {from}.");
+    info!(target: "node", parts, "Cache contents received from {from}.");
     node.gateway.record_cached_reports(&caches.cached);
     node.knows_caches.store(true, Ordering::Relaxed);
 }
 
-fn choose(node: &Node, with_disk: bool) -> Option<Ipv4Addr> {
+fn pick_peer(node: &Node, with_disk: bool) -> Option<Ipv4Addr> {
     let table = node.mesh.get()?.table();
-    // Whoever stands by knows no more.
+    // Nodes on standby know no more than this node.
     let live = table.members(node.gateway.timer.now());
-    let able = live.filter(|one| one.peer.has_disk || !with_disk);
-    able.map(|one| one.ip()).choose(&mut rand::rng())
+    let eligible = live.filter(|peer| peer.peer.has_disk || !with_disk);
+    eligible.map(|peer| peer.ip()).choose(&mut rand::rng())
 }
 
-async fn ask(node: &Node, from: Ipv4Addr) -> Result<Caches, tonic::Status> {
+async fn fetch_caches(
+    node: &Node,
+    from: Ipv4Addr,
+) -> Result<Caches, tonic::Status> {
     let address = SocketAddr::from((from, node.peer_port));
     let mut client = NodesClient::new(connect(address))
         .max_decoding_message_size(MESSAGE_LIMIT);
     Ok(client.recall(Empty {}).await?.into_inner())
 }
 
-async fn ask_levels(
+async fn fetch_levels(
     node: &Node,
     from: Ipv4Addr,
 ) -> Result<Levels, tonic::Status> {
@@ -240,7 +270,7 @@
     Ok(client.quotas(Empty {}).await?.into_inner())
 }
 
-async fn ask_replicas(
+async fn fetch_replicas(
     node: &Node,
     from: Ipv4Addr,
 ) -> Result<Sightings, tonic::Status> {
@@ -249,30 +279,34 @@
     Ok(client.sighted(Empty {}).await?.into_inner())
 }
 
-/// Writes what this node knows to its folder, until it stops.
+/// Saves this node's knowledge to its folder at intervals until the node
+/// stops.
 pub(super) async fn save(node: Arc<Node>, folder: PathBuf) {
-    let mut fails = false;
+    let mut has_failed = false;
     while !node.has_stopped() {
-        // What a request has done has to outlast a loss of power right after.
+        // A new crash report is saved at once, so that it survives a power
+        // loss right after the crash.
         let suspects = node.gateway.suspects_changed.notified();
-        let _ = timeout(SAVE, suspects).await;
+        let _ = timeout(SAVE_INTERVAL, suspects).await;
         if !node.knows_caches.load(Ordering::Relaxed) {
             continue;
         }
-        let memory = memory_of(&node);
+        let memory = collect_memory(&node);
         let folder = folder.clone();
-        // Not on the thread that serves requests: a disk may hang for seconds.
-        let written =
-            tokio::task::spawn_blocking(move || write(&folder, &memory));
+        // Written on another thread than requests are served on, because a
+        // disk may hang for seconds.
+        let written = tokio::task::spawn_blocking(move || {
+            write_memory(&folder, &memory)
+        });
         let result = written.await.map_err(io::Error::other).flatten();
-        if let (Err(error), false) = (&result, fails) {
-            warn!(target: "node", "Memory not written: {error}.");
+        if let (Err(error), false) = (&result, has_failed) {
+            warn!(target: "node", "Memory file not written: {error}.");
         }
-        fails = result.is_err();
+        has_failed = result.is_err();
     }
 }
 
-fn memory_of(node: &Node) -> Memory {
+fn collect_memory(node: &Node) -> Memory {
     let now = node.gateway.timer.now();
     let mesh = node.mesh.get();
     Memory {
@@ -284,7 +318,7 @@
     }
 }
 
-fn write(folder: &Path, memory: &Memory) -> io::Result<()> {
+fn write_memory(folder: &Path, memory: &Memory) -> io::Result<()> {
     let bytes = memory.encode_to_vec();
     let new = folder.join("memory.new");
     let mut file = File::create(&new)?;
@@ -295,12 +329,17 @@
     File::open(folder)?.sync_all()
 }
 
-fn read(folder: &Path) -> io::Result<Memory> {
+fn read_memory(folder: &Path) -> io::Result<Memory> {
     let bytes = fs::read(folder.join("memory"))?;
-    let torn = || io::Error::new(io::ErrorKind::InvalidData, "torn file");
-    let (sum, rest) = bytes.split_first_chunk().ok_or_else(torn)?;
-    if crc32fast::hash(rest) != u32::from_le_bytes(*sum) {
-        return Err(torn());
+    let corrupt = || {
+        io::Error::new(
+            io::ErrorKind::InvalidData,
+            "memory file truncated or corrupt",
+        )
+    };
+    let (checksum, encoded) = bytes.split_first_chunk().ok_or_else(corrupt)?;
+    if crc32fast::hash(encoded) != u32::from_le_bytes(*checksum) {
+        return Err(corrupt());
     }
-    Memory::decode(rest).map_err(io::Error::other)
+    Memory::decode(encoded).map_err(io::Error::other)
 }
