--- a/src/duty/mod.rs
+++ b/src/duty/mod.rs
@@ -1,14 +1,14 @@
-//! What only one node does at a time, for the whole system.
+//! Duties: tasks for the whole system that only one node performs at a time.
 //!
-//! The leader of the log holds every duty; its term is the fencing number.
-//! Not every platform checks that number, so two rules keep two leaders'
-//! calls apart:
+//! The leader of the log performs all duties; its term is the fencing token.
+//! Not every platform checks the token, so two rules prevent calls of two
+//! leaders from overlapping:
 //!
-//! - A leader calls only while a majority has confirmed it a moment ago, for
-//!   less time than the shortest election. So it has stopped before another
-//!   can lead.
-//! - A new leader waits out [`Options::lease_ms`] before its first call. So a
-//!   call of its predecessor that is still on its way arrives before.
+//! - A leader calls the platform only while the last confirmation by a
+//!   majority is more recent than the shortest election time-out. So it has
+//!   stopped calling before another leader can be elected.
+//! - A new leader waits for [`Options::lease_ms`] before its first call, so
+//!   that a call of its predecessor that is still in transit arrives first.
 
 pub mod scale;
 pub mod usage;
@@ -27,44 +27,44 @@
     wire::RecordUsage,
 };
 
-/// Pause between two looks at what is due. Well below the seconds within
+/// Interval between checks for due work. It is well below the seconds within
 /// which a report or an order is due.
-const LOOK: Duration = Duration::from_millis(500);
-/// Added to the lease: what a call may take on its way.
-const MARGIN_MS: u64 = 500;
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum transit time of a call, which is added to the lease, in ms.
+const MAX_CALL_TRANSIT_MS: u64 = 500;
 
 common! {
-    /// How duties are done.
+    /// Configuration of the duties.
     pub struct Options {
-        /// This node, as the platform is told.
+        /// The name of this node in calls to the platform.
         pub holder: String,
-        /// For so long a predecessor's calls may still come in, in ms.
+        /// Time for which calls of a predecessor may still arrive, in ms.
         pub lease_ms: u64,
         /// The length of a usage window, in ms.
         pub window_ms: u64,
-        /// Whether usage is reported at all.
+        /// Whether this node reports usage.
         pub reports_usage: bool,
-        /// Whether replicas are ordered at all.
+        /// Whether this node orders replicas.
         pub orders_replicas: bool,
     }
 }
 
 common! {
-    /// How many replicas of one kind a data centre should have.
+    /// The number of replicas of one kind that a data centre should have.
     pub struct Order {
-        /// Of which service.
+        /// The service of the replicas.
         pub service: String,
-        /// Where.
+        /// The data centre of the replicas.
         pub data_centre: String,
-        /// Whether they may be reclaimed.
+        /// Whether the platform may reclaim the replicas.
         pub reclaimable: bool,
-        /// How many, in all.
+        /// The total number of replicas, not the change.
         pub count: u32,
     }
 }
 
 impl Order {
-    /// True when both say how many there should be of the same replicas.
+    /// Returns true if both orders set the number of the same replicas.
     pub fn is_for(&self, other: &Order) -> bool {
         self.service == other.service
             && self.data_centre == other.data_centre
@@ -72,21 +72,21 @@
     }
 }
 
-/// Who calls, with which fencing number.
+/// Identifies the caller of the platform, with its fencing token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Badge {
     /// The node's name.
     pub holder: String,
-    /// Grows with each new holder.
+    /// The fencing token, which increases with each new holder.
     pub fence: u64,
 }
 
-/// Why a call to the platform had no effect, as far as known.
+/// The reason why a call to the platform is not known to have had an effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// It said no.
+    /// The platform refused the call with this HTTP status.
     Refused(u16),
-    /// It did not answer, and may have taken the call.
+    /// The platform did not answer, and may have executed the call.
     Silent(String),
 }
 
@@ -101,14 +101,15 @@
 
 impl std::error::Error for Error {}
 
-/// The platform's own interface, as far as duties need it.
+/// The part of the platform's interface that duties call.
 #[tonic::async_trait]
 pub trait Cloud: Send + Sync + 'static {
-    /// Reports the requests of each team that began in a window.
+    /// Reports the number of requests of each team that began in a window.
     ///
     /// # Errors
     ///
-    /// When the platform did not take it; the same may be sent again.
+    /// Returns an error if the platform did not accept the report. The same
+    /// report may be sent again.
     async fn report(
         &self,
         badge: &Badge,
@@ -119,19 +120,19 @@
     ///
     /// # Errors
     ///
-    /// When the platform has none, or did not answer; the same order may be
-    /// given again.
+    /// Returns an error if the platform has no such replicas or did not
+    /// answer. The same order may be sent again.
     async fn order(&self, badge: &Badge, order: &Order) -> Result<(), Error>;
 }
 
-/// What duties work with.
+/// The parts of the node that duties use.
 #[derive(Clone)]
-pub struct Tools {
-    /// Whether this node may act.
+pub struct Context {
+    /// This node's member of the log, which decides whether it may act.
     pub seat: seat::Handle,
-    /// Puts figures through the log.
+    /// Proposes usage records to the log.
     pub control: Arc<Client>,
-    /// What all nodes have counted.
+    /// The mesh, with the request counts of all nodes.
     pub mesh: mesh::Handle,
     /// The plan in force.
     pub plan: Arc<Cell<Option<Plan>>>,
@@ -141,22 +142,22 @@
     pub timer: Timer,
 }
 
-impl Tools {
-    /// This node's badge, while it may act for the whole system.
+impl Context {
+    /// Returns this node's badge while it may act for the whole system.
     pub async fn badge(&self, options: &Options) -> Option<Badge> {
         let Office { term, held_ms, is_first } = self.seat.office().await?;
-        // A leader waits until its predecessor's calls are surely over. The
-        // first one of all has none: waiting would only pay for the ordinary
-        // replicas that stand there until reclaimable ones have booted, for
-        // three and a half seconds more.
-        if !is_first && held_ms < options.lease_ms + MARGIN_MS {
+        // A leader waits until no call of its predecessor can be in transit.
+        // The first leader of a cluster has no predecessor. If it waited, the
+        // ordinary replicas that serve until reclaimable ones have booted
+        // would be paid for three and a half seconds longer.
+        if !is_first && held_ms < options.lease_ms + MAX_CALL_TRANSIT_MS {
             return None;
         }
         Some(Badge { holder: options.holder.clone(), fence: term })
     }
 }
 
-/// Running duties; they end when this is dropped.
+/// A handle to the running duties, which stop when it is dropped.
 #[derive(Debug)]
 pub struct Handle(JoinHandle<()>);
 
@@ -166,24 +167,24 @@
     }
 }
 
-/// Does what is due whenever this node leads.
-pub fn spawn(options: Options, tools: Tools) -> Handle {
+/// Starts the task that performs due duties while this node leads.
+pub fn spawn(options: Options, context: Context) -> Handle {
     Handle(tokio::spawn(async move {
         let mut reporter = usage::Reporter::default();
         let mut scaler = scale::Scaler::default();
         loop {
-            sleep(LOOK).await;
-            scaler.observe(&tools);
-            if tools.badge(&options).await.is_none() {
+            sleep(CHECK_INTERVAL).await;
+            scaler.observe(&context);
+            if context.badge(&options).await.is_none() {
                 reporter = usage::Reporter::default();
                 scaler.forget_orders();
                 continue;
             }
             if options.reports_usage {
-                reporter.look(&options, &tools).await;
+                reporter.report_due_windows(&options, &context).await;
             }
             if options.orders_replicas {
-                scaler.look(&options, &tools).await;
+                scaler.place_due_orders(&options, &context).await;
             }
         }
     }))
--- a/src/duty/scale.rs
+++ b/src/duty/scale.rs
@@ -1,8 +1,8 @@
-//! Orders of replicas, by the wishes of [`crate::decide::place`].
+//! Orders replicas to reach the targets of [`crate::decide::place`].
 
 use tracing::{info, warn};
 
-use super::{Error, Options, Order, Tools};
+use super::{Context, Error, Options, Order};
 use crate::{
     decide::place::{
         Bounds, Load, Site, compute_targets, estimate_initial_replicas,
@@ -15,76 +15,82 @@
     util::{common, name_hash},
 };
 
-/// An order that was not met is given again after this long, in ms: longer
-/// than replicas take to boot, as a rule, so that one that is under way is
-/// not ordered twice.
-const AGAIN_MS: u64 = 6000;
-/// After a refusal, as none are to be had: when to ask again, in ms. Calls
-/// to the platform cost something, and so do the seconds of the ordinary
-/// replicas that stand in.
-const REFUSED_MS: u64 = 2000;
-/// For this long after a refusal or a notice a data centre counts as having
-/// none, in ms: until one more order there has been decided.
-const DRY_MS: u64 = 3000;
+/// Time after which an order that was not met is sent again, in ms. Replicas
+/// usually boot in less time, so that a booting replica is not ordered twice.
+const UNMET_ORDER_RETRY_MS: u64 = 6000;
+/// Time after which an order that failed, usually because no replicas are
+/// available, is sent again, in ms. Calls to the platform cost something, and
+/// so do the ordinary replicas that substitute for reclaimable ones meanwhile.
+const FAILED_ORDER_RETRY_MS: u64 = 2000;
+/// Time for which a data centre counts as having no reclaimable replicas
+/// available after a failed order or a departure there, in ms. It lasts until
+/// the next order there has been decided.
+const SPOT_UNAVAILABLE_MS: u64 = 3000;
 
-/// A replica that was not heard for this long does not count, in ms: four
-/// heartbeats, and what they take to get round where there are many nodes.
-const SILENT_MS: u64 = 6000;
+/// Time without heartbeats after which a replica does not count, in ms: four
+/// heartbeats and their propagation delay between many nodes.
+const HEARTBEAT_TIMEOUT_MS: u64 = 6000;
 
 common! {
-    struct Given {
+    struct IssuedOrder {
         order: Order,
-        /// Not before this is it given again unchanged.
-        again_at: u64,
-        /// None are to be had until then, as far as known.
-        dry_until: u64,
+        /// Earliest time to send the same order again.
+        retry_at: u64,
+        /// Time until which such replicas are assumed to be unavailable.
+        unavailable_until: u64,
     }
 }
 
-/// What one leader has ordered.
+/// Orders replicas, and remembers the orders of this leader.
 #[derive(Debug, Default)]
 pub struct Scaler {
-    given: Vec<Given>,
-    /// By service.
+    issued: Vec<IssuedOrder>,
+    /// The load of each service, by name.
     loads: Vec<(String, Load)>,
 }
 
 impl Scaler {
-    /// Follows the load, whether or not this node leads: one that has just
-    /// begun to lead would otherwise order for a load that it can't know.
-    pub fn observe(&mut self, tools: &Tools) {
-        let held = tools.plan.read();
-        let Some(plan) = held.as_ref() else { return };
-        let now = tools.timer.now();
-        let table = tools.mesh.table();
+    /// Records the load, whether or not this node leads. Otherwise a new
+    /// leader would place orders without knowing the load.
+    pub fn observe(&mut self, context: &Context) {
+        let plan_guard = context.plan.read();
+        let Some(plan) = plan_guard.as_ref() else { return };
+        let now = context.timer.now();
+        let table = context.mesh.table();
         for service in plan.services() {
             if service.scaling.is_some() {
-                self.note_load(now, service, &table);
+                self.record_load(now, service, &table);
             }
         }
     }
 
-    /// Forgets what was ordered, as somebody else may order since.
+    /// Forgets all orders, because another leader may have placed orders
+    /// since.
     pub fn forget_orders(&mut self) {
-        self.given.clear();
+        self.issued.clear();
     }
 
-    /// Orders what is due.
-    pub async fn look(&mut self, options: &Options, tools: &Tools) {
-        let held = tools.plan.read();
-        let Some(plan) = held.as_ref() else { return };
-        let now = tools.timer.now();
-        let due = self.due(now, plan, &tools.mesh.table());
+    /// Sends the orders that are due to the platform.
+    pub async fn place_due_orders(
+        &mut self,
+        options: &Options,
+        context: &Context,
+    ) {
+        let plan_guard = context.plan.read();
+        let Some(plan) = plan_guard.as_ref() else { return };
+        let now = context.timer.now();
+        let due = self.due(now, plan, &context.mesh.table());
         for (order, there) in due {
-            let Some(badge) = tools.badge(options).await else { return };
-            let result = tools.cloud.order(&badge, &order).await;
+            let Some(badge) = context.badge(options).await else { return };
+            let result = context.cloud.order(&badge, &order).await;
             let refused = result.is_err();
             log(&order, there, badge.fence, result);
-            self.note(now, refused, order);
+            self.record_order(now, refused, order);
         }
     }
 
-    /// Orders that are new, or were not met, with what there is now.
+    /// Returns the orders that are new or were not met, each with the number
+    /// of replicas that are ready now.
     fn due(&self, now: u64, plan: &Plan, table: &Table) -> Vec<(Order, u32)> {
         let mut due = Vec::new();
         for service in plan.services() {
@@ -92,20 +98,21 @@
             let known =
                 self.loads.iter().find(|(known, _)| *known == service.name);
             let Some((_, load)) = known else { continue };
-            let ready = ready_of(now, table, &service.name);
+            let ready = ready_replicas(now, table, &service.name);
             let mut sites = sites(scaling, &ready);
             for site in &mut sites {
                 let name = &site.data_centre;
-                site.spot_unavailable = self.is_dry(now, &service.name, name)
-                    || is_being_reclaimed(now, table, service, name);
+                site.spot_unavailable =
+                    self.is_spot_unavailable(now, &service.name, name)
+                        || is_being_reclaimed(now, table, service, name);
             }
             let bounds = Bounds {
                 min_replicas: scaling.min_replicas,
                 max_replicas: scaling.max_replicas,
                 has_spot: scaling.spot_price.is_some(),
-                // Of all nodes, though only the active ones choose replicas:
-                // see `sizing_lag_ms`.
-                lag_ms: sizing_lag_ms(table),
+                // The delay between all nodes, although only active nodes
+                // choose replicas: see `sizing_propagation_delay_ms`.
+                lag_ms: sizing_propagation_delay_ms(table),
             };
             for (target, site) in
                 compute_targets(&sites, &bounds, load).iter().zip(&sites)
@@ -127,79 +134,97 @@
                 }
             }
         }
-        // What is bought first, what is let go last.
+        // Orders that add replicas come first, those that remove some last.
         due.sort_by_key(|(order, there)| order.count < *there);
         due
     }
 
-    fn note_load(&mut self, now: u64, service: &Service, table: &Table) {
+    fn record_load(&mut self, now: u64, service: &Service, table: &Table) {
         let name = &service.name;
-        let ready = ready_of(now, table, name);
+        let ready = ready_replicas(now, table, name);
         if ready.is_empty() {
             return;
         }
-        let spot = ready.iter().filter(|one| one.sighting.reclaimable).count();
+        let spot = ready
+            .iter()
+            .filter(|replica| replica.sighting.reclaimable)
+            .count();
         let scaling = service.scaling.as_ref();
         let sites = scaling.map_or(1, |scaling| scaling.prices.len());
-        let found = estimate_initial_replicas(ready.len() - spot, spot, sites);
+        let initial =
+            estimate_initial_replicas(ready.len() - spot, spot, sites);
         let known = self.loads.iter().position(|(known, _)| known == name);
         let at = known.unwrap_or_else(|| {
-            let load = Load::open(now, found);
+            let load = Load::open(now, initial);
             self.loads.push((name.clone(), load));
             self.loads.len() - 1
         });
         let load = &mut self.loads[at].1;
-        load.record_initial_replicas(found);
+        load.record_initial_replicas(initial);
         load.record_sent(now, table.work(name_hash(name)));
     }
 
     fn is_due(&self, now: u64, order: &Order, there: u32) -> bool {
-        let given = self.given.iter().find(|one| one.order.is_for(order));
-        match given {
-            Some(given) if given.order.count == order.count => {
-                there != order.count && now >= given.again_at
+        let issued =
+            self.issued.iter().find(|issued| issued.order.is_for(order));
+        match issued {
+            Some(issued) if issued.order.count == order.count => {
+                there != order.count && now >= issued.retry_at
             }
             Some(_) => true,
             None => there != order.count,
         }
     }
 
-    fn is_dry(&self, now: u64, service: &str, data_centre: &str) -> bool {
-        self.given.iter().any(|one| {
-            one.order.reclaimable
-                && one.order.service == service
-                && one.order.data_centre == data_centre
-                && now < one.dry_until
+    fn is_spot_unavailable(
+        &self,
+        now: u64,
+        service: &str,
+        data_centre: &str,
+    ) -> bool {
+        self.issued.iter().any(|issued| {
+            issued.order.reclaimable
+                && issued.order.service == service
+                && issued.order.data_centre == data_centre
+                && now < issued.unavailable_until
         })
     }
 
-    fn note(&mut self, now: u64, refused: bool, order: Order) {
-        let (wait, dry) =
-            if refused { (REFUSED_MS, DRY_MS) } else { (AGAIN_MS, 0) };
-        let given =
-            Given { order, again_at: now + wait, dry_until: now + dry };
+    fn record_order(&mut self, now: u64, refused: bool, order: Order) {
+        let (wait_ms, unavailable_ms) = if refused {
+            (FAILED_ORDER_RETRY_MS, SPOT_UNAVAILABLE_MS)
+        } else {
+            (UNMET_ORDER_RETRY_MS, 0)
+        };
+        let issued = IssuedOrder {
+            order,
+            retry_at: now + wait_ms,
+            unavailable_until: now + unavailable_ms,
+        };
         let old =
-            self.given.iter().position(|one| one.order.is_for(&given.order));
+            self.issued.iter().position(|old| old.order.is_for(&issued.order));
         match old {
-            Some(at) => self.given[at] = given,
-            None => self.given.push(given),
+            Some(at) => self.issued[at] = issued,
+            None => self.issued.push(issued),
         }
     }
 }
 
-/// How late entries would know of each other if all nodes were.
+/// Returns the propagation delay of reports if all serving nodes were active,
+/// in ms.
 ///
-/// Active nodes know of each other sooner, and few replicas would do for that
-/// once all are warm. But a start with cold caches needs more.
-fn sizing_lag_ms(table: &Table) -> f32 {
+/// Reports spread faster between the active nodes alone, and fewer replicas
+/// would suffice for that delay once all caches are warm. But a start with
+/// cold caches needs more replicas.
+fn sizing_propagation_delay_ms(table: &Table) -> f32 {
     mean_propagation_delay_ms(table.serving_count()) as f32
 }
 
-/// The replicas of a service that take requests.
+/// Returns the replicas of a service that take requests.
 ///
-/// One that has crashed says nothing. Counted for as long as it is remembered
-/// it would not be replaced for half a minute.
-fn ready_of<'a>(
+/// A crashed replica sends no heartbeats. If it counted until the mesh table
+/// drops it, it would not be replaced for half a minute.
+fn ready_replicas<'a>(
     now: u64,
     table: &'a Table,
     service: &str,
@@ -207,34 +232,37 @@
     table
         .replicas()
         .iter()
-        .filter(|one| one.state == State::Ready)
-        .filter(|one| one.remembered_until.is_none())
-        .filter(|one| now < one.heard_at + SILENT_MS)
-        .filter(|one| one.sighting.service == service)
+        .filter(|replica| replica.state == State::Ready)
+        .filter(|replica| replica.remembered_until.is_none())
+        .filter(|replica| now < replica.heard_at + HEARTBEAT_TIMEOUT_MS)
+        .filter(|replica| replica.sighting.service == service)
         .collect()
 }
 
-/// True while a data centre's reclaimable replicas are being taken away: as
-/// many are leaving as stay, or more.
+/// Returns true while the platform reclaims a data centre's replicas: at least
+/// as many reclaimable replicas are leaving as remain.
 ///
-/// Replicas do not always say that they leave for good, and orders of this
-/// node take away a few at a time.
+/// Replicas do not always announce that they leave for good, and orders of
+/// this node remove a few at a time, so a few departures are no sign of a
+/// reclaim.
 fn is_being_reclaimed(
     now: u64,
     table: &Table,
     service: &Service,
     data_centre: &str,
 ) -> bool {
-    let there = table.replicas().iter().filter(|one| {
-        one.sighting.reclaimable
-            && one.sighting.service == service.name
-            && one.sighting.data_centre == data_centre
+    let candidates = table.replicas().iter().filter(|replica| {
+        replica.sighting.reclaimable
+            && replica.sighting.service == service.name
+            && replica.sighting.data_centre == data_centre
     });
     let (mut leaving, mut ready) = (0, 0);
-    for replica in there {
+    for replica in candidates {
         match replica.state {
             State::Ready => ready += 1,
-            _ if now < replica.leaving_since + DRY_MS => leaving += 1,
+            _ if now < replica.leaving_since + SPOT_UNAVAILABLE_MS => {
+                leaving += 1
+            }
             _ => {}
         }
     }
@@ -245,8 +273,8 @@
     let count = |data_centre: &str, reclaimable: bool| {
         ready
             .iter()
-            .filter(|one| one.sighting.data_centre == data_centre)
-            .filter(|one| one.sighting.reclaimable == reclaimable)
+            .filter(|replica| replica.sighting.data_centre == data_centre)
+            .filter(|replica| replica.sighting.reclaimable == reclaimable)
             .count() as u32
     };
     scaling
--- a/src/duty/usage.rs
+++ b/src/duty/usage.rs
@@ -1,32 +1,34 @@
-//! Usage reports: how many requests of each team began in each window.
+//! Usage reports: the number of requests of each team that began in each
+//! window.
 //!
-//! A window's figure is put through the log before it is sent. Whoever
-//! leads after that sends exactly the same figure again or nothing; a second
-//! figure for the same window would be billed twice.
+//! A window's counts are committed to the log before they are reported. Every
+//! later leader reports exactly the same counts again or nothing. Reporting
+//! other counts for the same window would bill it twice.
 
 use std::time::Duration;
 
 use tracing::{info, warn};
 
-use super::{Options, Tools};
+use super::{Context, Options};
 use crate::{
     util::wall_ms,
     wire::{Change, RecordUsage, UsageOutcome, change, outcome},
 };
 
-/// From the end of a window until its figure is made, in ms: what nodes count
-/// takes a few datagrams to arrive, and the clock a few to agree on.
-const SETTLE_MS: u64 = 2500;
-/// From the end of a window until its figure is made all the same when some
-/// nodes are not heard, in ms. Reports are due ten seconds after it; what is
-/// left is for the log and a platform that is slow.
-const LAST_MS: u64 = 7000;
-/// Windows that a new leader looks back on.
-const LOOK_BACK: u64 = 3;
-/// How long putting a figure through the log may take.
-const RECORD_LIMIT: Duration = Duration::from_millis(800);
+/// Time from the end of a window until its counts are summed, in ms. The
+/// nodes' counts take a few datagrams to arrive, and the clocks a few to
+/// agree.
+const MIN_SETTLE_MS: u64 = 2500;
+/// Time from the end of a window until its counts are summed even though some
+/// nodes are silent, in ms. Reports are due ten seconds after the end of the
+/// window; the rest is left for the log and a slow platform.
+const MAX_SETTLE_MS: u64 = 7000;
+/// Number of past windows that a new leader reports again.
+const LOOK_BACK_WINDOWS: u64 = 3;
+/// Timeout of committing a window's counts to the log.
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What one leader has reported.
+/// Reports usage, and remembers which windows this leader has reported.
 #[derive(Debug, Default)]
 pub struct Reporter {
     /// The next window to report.
@@ -35,41 +37,47 @@
 
 impl Reporter {
     /// Reports the windows that are due.
-    pub async fn look(&mut self, options: &Options, tools: &Tools) {
-        let now = tools.timer.now();
-        let offset = tools.mesh.table().clock_offset(now);
-        let wall = (wall_ms() as i64 + offset).max(0) as u64;
-        let settle_ms = match tools.mesh.table().hears_all_entries(now) {
-            true => SETTLE_MS,
-            false => LAST_MS,
+    pub async fn report_due_windows(
+        &mut self,
+        options: &Options,
+        context: &Context,
+    ) {
+        let now = context.timer.now();
+        let offset = context.mesh.table().clock_offset(now);
+        let wall_time_ms = (wall_ms() as i64 + offset).max(0) as u64;
+        let settle_ms = match context.mesh.table().hears_all_entries(now) {
+            true => MIN_SETTLE_MS,
+            false => MAX_SETTLE_MS,
         };
-        let settled = wall.saturating_sub(settle_ms) / options.window_ms;
-        let from = self.next.unwrap_or(settled.saturating_sub(LOOK_BACK));
+        let settled =
+            wall_time_ms.saturating_sub(settle_ms) / options.window_ms;
+        let from =
+            self.next.unwrap_or(settled.saturating_sub(LOOK_BACK_WINDOWS));
         for window in from..settled {
-            if !self.report(options, tools, window).await {
+            if !self.report(options, context, window).await {
                 return;
             }
             self.next = Some(window + 1);
         }
     }
 
-    /// Reports one window; false to try again later.
+    /// Reports one window. Returns false if the report has to be retried.
     async fn report(
         &self,
         options: &Options,
-        tools: &Tools,
+        context: &Context,
         window: u64,
     ) -> bool {
-        let counted = tools.mesh.table().usage(window);
+        let counted = context.mesh.table().usage(window);
         if counted.counts.is_empty() {
             return true;
         }
-        let Some(recorded) = record(tools, counted).await else {
+        let Some(recorded) = record(context, counted).await else {
             return false;
         };
-        // Asked again right before the call: recording takes its time.
-        let Some(badge) = tools.badge(options).await else { return false };
-        match tools.cloud.report(&badge, &recorded).await {
+        // Checked again right before the call, because committing takes time.
+        let Some(badge) = context.badge(options).await else { return false };
+        match context.cloud.report(&badge, &recorded).await {
             Ok(()) => {
                 info!(
                     target: "duty",
@@ -93,17 +101,18 @@
     }
 }
 
-/// Puts a figure through the log; gives the one that was recorded first.
-async fn record(tools: &Tools, usage: RecordUsage) -> Option<RecordUsage> {
+/// Commits a window's counts to the log. Returns the counts that were
+/// committed first for that window.
+async fn record(context: &Context, usage: RecordUsage) -> Option<RecordUsage> {
     let window = usage.window;
     let change = Change::new(change::Kind::RecordUsage(usage));
-    match tools.control.propose(change, RECORD_LIMIT, true).await {
+    match context.control.propose(change, COMMIT_TIMEOUT, true).await {
         Ok(outcome) => match outcome.kind {
             Some(outcome::Kind::Usage(UsageOutcome { recorded })) => recorded,
             _ => None,
         },
         Err(error) => {
-            warn!(target: "duty", window, "Usage not recorded: {error}.");
+            warn!(target: "duty", window, "Usage not committed: {error}.");
             None
         }
     }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -260,7 +260,7 @@
             node.clone(),
             seat.clone(),
         )));
-        let tools = duty::Tools {
+        let tools = duty::Context {
             seat: seat.clone(),
             control: node.control.clone(),
             mesh,
