--- a/tests/all/nodes.rs
+++ b/tests/all/nodes.rs
@@ -1,4 +1,5 @@
-//! Several nodes with and without disks, on loopback addresses of their own.
+//! Tests of several nodes with and without disks, each on its own loopback
+//! address.
 
 use std::{
     net::{Ipv4Addr, SocketAddrV4},
@@ -20,13 +21,14 @@
     Replica, TempFolder, apply_plan, ok, options, read_answer, sighting,
 };
 
-/// Long beyond anything that a passing test waits for.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// The port between nodes.
+/// Time-out of each wait, far longer than any wait in a passing test.
+const STEP_TIMEOUT: Duration = Duration::from_secs(30);
+/// The port for traffic between nodes.
 const PORT: u16 = 7701;
 
+/// A cluster of nodes under test.
 pub struct Site {
-    /// Members that may lose their disks at once.
+    /// Number of members that may lose their disks at the same time.
     tolerance: usize,
     ips: Vec<Ipv4Addr>,
     folders: Vec<Option<TempFolder>>,
@@ -34,12 +36,12 @@
 }
 
 impl Site {
-    /// Starts `disks` nodes with a disk and `others` without.
+    /// Starts `disks` nodes with a disk and `others` nodes without one.
     pub async fn open(disks: usize, others: usize) -> Site {
-        Site::open_tolerant(disks, others, 1).await
+        Site::open_with_tolerance(disks, others, 1).await
     }
 
-    async fn open_tolerant(
+    async fn open_with_tolerance(
         disks: usize,
         others: usize,
         tolerance: usize,
@@ -73,14 +75,15 @@
         };
         let started = async {
             loop {
-                // The port may still be held by the node before.
+                // The previous node may still hold the port.
                 match node::spawn(options.clone()).await {
                     Ok(node) => return node,
                     Err(_) => sleep(Duration::from_millis(20)).await,
                 }
             }
         };
-        let node = timeout(PATIENCE, started).await.expect("can't start");
+        let node =
+            timeout(STEP_TIMEOUT, started).await.expect("node did not start");
         self.nodes[at] = Some(node);
     }
 
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Ends a node and starts it with an empty disk at its old address.
+    /// Stops a node and starts it with an empty disk at the same address.
     async fn wipe(&mut self, at: usize) {
         self.stop(at).await;
         self.folders[at] = Some(TempFolder::new());
@@ -101,12 +104,13 @@
         self.nodes[at].as_ref().unwrap()
     }
 
-    /// Those that run.
+    /// Returns the running nodes.
     pub fn nodes(&self) -> impl Iterator<Item = &node::Handle> {
         self.nodes.iter().flatten()
     }
 
-    /// The version that a node reads through the quorum, once it can.
+    /// Reads the plan's version through the quorum at a node, and retries
+    /// until a majority answers.
     async fn read(&self, at: usize) -> u64 {
         let read = async {
             loop {
@@ -116,7 +120,7 @@
                 }
             }
         };
-        timeout(PATIENCE, read).await.expect("no majority answers")
+        timeout(STEP_TIMEOUT, read).await.expect("no majority answers")
     }
 
     async fn all_know_caches(&self, when: &str) {
@@ -125,12 +129,12 @@
                 .nodes
                 .iter()
                 .flatten()
-                .any(|one| one.cached_parts() == 0)
+                .any(|node| node.cached_parts() == 0)
             {
                 sleep(Duration::from_millis(20)).await;
             }
         };
-        timeout(PATIENCE, known).await.expect(when);
+        timeout(STEP_TIMEOUT, known).await.expect(when);
     }
 
     pub async fn all_serve(&self) {
@@ -143,12 +147,12 @@
                 sleep(Duration::from_millis(20)).await;
             }
         };
-        timeout(PATIENCE, serve).await.expect("some do not serve");
+        timeout(STEP_TIMEOUT, serve).await.expect("some nodes do not serve");
     }
 }
 
-/// Four disks and two nodes without: a plan put at any of them is read at all
-/// of them and in force at all of them, and an invalid one at none.
+/// Four nodes with a disk and two without: a plan submitted at any node is in
+/// force and can be read at all nodes. An invalid plan is refused.
 #[tokio::test]
 async fn a_plan_is_in_force_everywhere() {
     let site = Site::open(4, 2).await;
@@ -159,13 +163,13 @@
     }
     let refused = site.node(4).put_plan(b"nonsense").await;
     assert!(matches!(refused, Err(PutError::Invalid(_))), "{refused:?}");
-    // An older one is acknowledged, and changes nothing.
+    // An older plan is acknowledged without effect.
     assert_eq!(site.node(1).put_plan(b"2").await, Ok(3));
     assert_eq!(site.read(2).await, 3);
 }
 
-/// Symptom: an acknowledged configuration is gone. Sequence: one disk of four
-/// is lost, the VM is taken in again, and right then a second disk is lost.
+/// Guards against the loss of an acknowledged plan: one disk of four is lost,
+/// the VM joins again, and right afterwards a second disk is lost.
 #[tokio::test]
 async fn a_second_disk_may_be_lost_once_the_first_is_back() {
     let mut site = Site::open(4, 0).await;
@@ -176,18 +180,17 @@
         apply_plan(site.node(3), version).await;
         site.wipe(lost).await;
         assert_eq!(site.read(lost).await, version);
-        // A wiped one is a voter again before the next is lost: the bound of
-        // the deployments is four seconds.
+        // The wiped node is a voter again before the next disk is lost. The
+        // deployments' bound for this is four seconds.
         sleep(Duration::from_secs(4)).await;
     }
     assert_eq!(site.read(3).await, 12);
 }
 
-/// Symptom: a configuration is lost, or an old one served, after all
-/// processes were killed at once. Sequence: one is acknowledged, and all are
-/// ended and started again.
+/// Guards against losing an acknowledged plan, or serving an older one, after
+/// all nodes have been stopped at the same time and started again.
 #[tokio::test]
-async fn all_may_stop_at_once() {
+async fn a_plan_survives_a_restart_of_all_nodes() {
     let mut site = Site::open(3, 1).await;
     apply_plan(site.node(3), 5).await;
     for at in 0..4 {
@@ -202,8 +205,9 @@
     site.all_serve().await;
 }
 
-/// Symptom: a cluster of its own beside the others. Sequence: the founder's
-/// disk is lost before anybody joined. Cause: an empty folder founds again.
+/// Guards against a second cluster beside the first. The founder's disk is
+/// lost before any other node has joined; because its folder was empty, the
+/// founder founded another cluster.
 #[tokio::test]
 async fn an_empty_folder_never_founds_later() {
     let mut site = Site::open(4, 0).await;
@@ -215,9 +219,9 @@
     }
 }
 
-/// Symptom: a full disk takes the requests of its VM with it. Sequence: the
-/// data folder can't be used; later it can. The node serves all the while,
-/// and votes once its folder works.
+/// Guards against a node that refuses requests because its disk fails. The
+/// data folder is unusable at first. The node serves in the meantime, and
+/// votes once the folder is usable.
 #[tokio::test]
 async fn a_node_serves_without_its_disk() {
     let mut site = Site::open(4, 0).await;
@@ -233,17 +237,17 @@
     std::fs::remove_file(&path).unwrap();
     std::fs::rename(&aside, &path).unwrap();
     site.stop(0).await;
-    // With one of four gone for now, a majority needs this one.
+    // One of four members is stopped, so a majority needs this one.
     apply_plan(site.node(3), 3).await;
     assert_eq!(site.read(3).await, 3);
 }
 
-/// Symptom: after a restart prompts are read again that replicas have cached,
-/// and the replicas are overloaded by it. Sequence: one node restarts; then
-/// all do at once. Cause: what has been cached where was known only in the
-/// memory of the nodes, and told once.
+/// Guards against replicas that are overloaded after a restart of nodes
+/// because they compute prompts again that are cached. One node restarts, then
+/// all restart at once. The cache contents were only known in the nodes'
+/// memory and were sent only once.
 #[tokio::test]
-async fn what_is_cached_is_known_after_one_or_all_have_restarted() {
+async fn cached_parts_are_known_after_one_or_all_nodes_restart() {
     let mut site = Site::open(3, 1).await;
     apply_plan(site.node(3), 1).await;
     site.all_serve().await;
@@ -255,37 +259,37 @@
                    Tokens: 1500\r\nParts: 7:900,8:600\r\n\r\n";
     client.write_all(request.as_bytes()).await.unwrap();
     read_answer(&mut client).await;
-    site.all_know_caches("told").await;
+    site.all_know_caches("not all nodes know the cached parts").await;
     site.stop(3).await;
     site.start(3, false).await;
-    site.all_know_caches("one restarted").await;
+    site.all_know_caches("unknown after one node restarted").await;
     let saved = site.folders[0].as_ref().unwrap().0.join("memory");
     let written = async {
-        // With a part in it, the file has the number of the part's replica.
-        let number = replica_hash("r").to_le_bytes();
-        let named = || {
+        // The file contains the replica's hash once it contains a cached part.
+        let hash = replica_hash("r").to_le_bytes();
+        let is_saved = || {
             let file: Vec<u8> = std::fs::read(&saved).unwrap_or_default();
-            file.windows(8).any(|bytes| bytes == number)
+            file.windows(8).any(|bytes| bytes == hash)
         };
-        while !named() {
+        while !is_saved() {
             sleep(Duration::from_millis(50)).await;
         }
     };
-    timeout(PATIENCE, written).await.expect("never written");
+    timeout(STEP_TIMEOUT, written).await.expect("memory file not written");
     for at in 0..4 {
         site.stop(at).await;
     }
     for at in 0..4 {
         site.start(at, false).await;
     }
-    site.all_know_caches("all restarted").await;
+    site.all_know_caches("unknown after all nodes restarted").await;
 }
 
-/// Symptom: a caller's stream is cut in the middle by a planned stop. Sequence:
-/// the node is told to stop; three of its eight seconds later it takes a
-/// request whose replica has two seconds of others' prompts to read. Cause: it
-/// took requests for as long as clients may keep its address, whatever time
-/// was left for the answers.
+/// Guards against cutting a caller's stream in the middle at a planned stop.
+/// Three seconds into a grace period of eight, the node accepted a request
+/// whose replica had two seconds of other prompts to compute first. The node
+/// accepted requests for as long as clients may keep its address, regardless
+/// of the time left for the answers.
 #[test]
 fn a_stopping_node_leaves_most_of_its_time_for_answers() {
     for seconds in [1, 2, 4, 8, 30] {
@@ -295,10 +299,9 @@
     }
 }
 
-/// Symptom: after a loss of power at all nodes, requests are refused for most
-/// of a second although all replicas run. Sequence: all nodes are stopped and
-/// started again; no heartbeat has come in yet. Cause: replicas were known to
-/// memory alone.
+/// Guards against refusing requests for most of a second after a power loss at
+/// all nodes although all replicas run. All nodes restart and no heartbeat has
+/// arrived yet; the replicas were only known in the nodes' memory.
 #[tokio::test]
 async fn replicas_are_known_at_once_after_all_have_restarted() {
     let mut site = Site::open(3, 1).await;
@@ -313,23 +316,23 @@
         .map(|folder| folder.0.join("memory"))
         .collect();
     let written = async {
-        // With a replica in it, the file names its service.
-        let named = |path| {
+        // The file contains the service's name once it contains a replica.
+        let is_saved = |path| {
             let file: Vec<u8> = std::fs::read(path).unwrap_or_default();
             file.windows(3).any(|bytes| bytes == b"app")
         };
-        while !saved.iter().all(named) {
+        while !saved.iter().all(is_saved) {
             sleep(Duration::from_millis(50)).await;
         }
     };
-    timeout(PATIENCE, written).await.expect("never written");
+    timeout(STEP_TIMEOUT, written).await.expect("memory file not written");
     for at in 0..4 {
         site.stop(at).await;
     }
     for at in 0..4 {
         site.start(at, false).await;
     }
-    // Nodes with a disk and the one without: each serves its first request.
+    // The node without a disk and one with a disk serve their first request.
     for at in [3, 0] {
         let front = site.node(at).front().unwrap();
         let mut client = TcpStream::connect(front).await.unwrap();
@@ -340,12 +343,12 @@
     }
 }
 
-/// Symptom: ordinary replicas are paid for three and a half seconds longer
-/// than needed at the start of a deployment. Cause: the first leader of all
-/// waits for a predecessor's calls to be over, though there was none. One that
-/// starts again, and so may have had a successor, has to wait.
+/// Guards against paying for ordinary replicas three and a half seconds longer
+/// than needed at the start of a deployment. The first leader of a cluster
+/// waited for calls of a predecessor, although there was none. A leader that
+/// restarts may have had a successor and has to wait.
 #[tokio::test]
-async fn only_the_first_leader_of_all_has_no_predecessor() {
+async fn only_the_first_leader_of_a_cluster_has_no_predecessor() {
     let folder = TempFolder::new();
     let ip = Ipv4Addr::new(127, 88, 250, 1);
     for first in [true, false] {
@@ -364,19 +367,21 @@
                 sleep(Duration::from_millis(20)).await;
             }
         };
-        let office = timeout(PATIENCE, leads).await.expect("never leads");
+        let office = timeout(STEP_TIMEOUT, leads)
+            .await
+            .expect("node did not become leader");
         assert_eq!(office.is_first, first);
         seat.stop().await;
     }
 }
 
-/// Symptom that it guards against: a configuration that was just confirmed can't
-/// be read any more. Sequence: as many disks as may be lost are lost, and all
-/// other nodes, those without a disk too, end at the same moment; each member in
-/// turn is among those that come back empty, the leader as well.
+/// Guards against the loss of a plan that was just acknowledged. As many disks
+/// are lost as the cluster tolerates, and all nodes stop at the same time,
+/// including those without a disk. Each member in turn, and so the leader, is
+/// among those that return with an empty disk.
 #[tokio::test]
-async fn what_was_confirmed_outlasts_lost_disks_beside_lost_power() {
-    let mut site = Site::open_tolerant(5, 2, 2).await;
+async fn acknowledged_plans_survive_disk_losses_during_a_power_loss() {
+    let mut site = Site::open_with_tolerance(5, 2, 2).await;
     apply_plan(site.node(6), 1).await;
     site.all_serve().await;
     for (round, lost) in [[0, 1], [2, 3], [4, 0]].into_iter().enumerate() {
@@ -394,8 +399,8 @@
         for at in 0..7 {
             assert_eq!(site.read(at).await, version, "round {round}");
         }
-        // The emptied ones are voters again before the next are lost: the
-        // bound of the deployments is six seconds.
+        // The wiped nodes are voters again before the next disks are lost.
+        // The deployments' bound for this is six seconds.
         if round < 2 {
             sleep(Duration::from_secs(6)).await;
         }
