--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -1,14 +1,14 @@
-//! Keeps an entry in step with control: configuration, fleet, lease.
+//! Synchronises an entry with control: configuration, fleet, lease.
 //!
-//! One task asks the leader over and over; control holds each question back
-//! until there is news, for half a second at most. Every answer renews the
-//! entry's lease, counted from when the question was *sent*: the answer may
-//! have been on its way for any length of time.
+//! One task long-polls the control leader, which holds each request until
+//! something changes, for at most half a second. Every reply renews the
+//! entry's lease. The lease counts from the time when the request was *sent*,
+//! because the reply may have been delayed for any length of time.
 //!
-//! Without a lease an entry takes no new request. So an old configuration, or
-//! an endpoint that has left, is out of use everywhere within
-//! [`ENTRY_LEASE_MS`], whatever links are cut: an entry has either heard of
-//! it or stopped by itself.
+//! An entry without a lease accepts no new requests. Therefore an old
+//! configuration or a departed endpoint is out of use at every entry within
+//! [`ENTRY_LEASE_MS`], whichever links are cut: each entry has either received
+//! the change or stopped accepting requests.
 
 use std::time::Duration;
 
@@ -23,33 +23,36 @@
     wire::{EntryInfo, Load, SyncReply, SyncRequest},
 };
 
-/// Pause after a sync that failed.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Delay before retrying a failed sync.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Runs until the process ends.
+/// Syncs with control until the process exits.
 pub async fn run(state: Shared) {
     let mut versions = Versions::default();
     let mut draining = state.board.draining.watch();
-    let mut cut_off = false;
+    let mut lease_loss_logged = false;
     loop {
         let sent_at = state.now();
-        let request = question(&state, &versions);
+        let request = build_request(&state, &versions);
         let answer = tokio::select! {
             answer = state.control.sync(request) => answer,
-            // The others must hear at once that this entry stops.
+            // Control must learn at once that this entry drains.
             () = draining.changed() => continue,
         };
         match answer {
             Ok(reply) => {
-                take(&state, &mut versions, sent_at, reply);
-                cut_off = false;
+                apply_reply(&state, &mut versions, sent_at, reply);
+                lease_loss_logged = false;
             }
             Err(failure) => {
-                if !cut_off && !state.holds_lease() {
-                    warn!(target: "sync", "No lease: {failure}.");
-                    cut_off = true;
+                if !lease_loss_logged && !state.holds_lease() {
+                    warn!(
+                        target: "sync",
+                        "No lease; sync with control failed: {failure}."
+                    );
+                    lease_loss_logged = true;
                 }
-                sleep(PAUSE).await;
+                sleep(RETRY_INTERVAL).await;
             }
         }
     }
@@ -61,7 +64,7 @@
     entries: u64,
 }
 
-fn question(state: &Shared, versions: &Versions) -> SyncRequest {
+fn build_request(state: &Shared, versions: &Versions) -> SyncRequest {
     let in_force = state
         .board
         .config
@@ -84,36 +87,40 @@
     }
 }
 
-fn take(
+fn apply_reply(
     state: &Shared,
     versions: &mut Versions,
     sent_at: u64,
     reply: SyncReply,
 ) {
-    if !take_config(state, &reply) {
+    if !apply_config(state, &reply) {
         return;
     }
-    take_fleet(state, &reply);
-    take_entries(state, versions, &reply);
+    apply_fleet(state, &reply);
+    apply_entries(state, versions, &reply);
     versions.term = reply.term;
     state.board.orders.write(reply.orders);
     let until = sent_at + ENTRY_LEASE_MS;
     if !state.board.lease.read().fresh {
-        info!(target: "sync", "Holds a lease.");
+        info!(target: "sync", "Acquired the lease.");
     }
     state.board.lease.write(Lease { until, fresh: true });
 }
 
-/// Puts a newer configuration in force; false leaves the lease to lapse.
-fn take_config(state: &Shared, reply: &SyncReply) -> bool {
+/// Puts a newer configuration in force. Returns false on a fault, so that the
+/// lease is not renewed and expires.
+fn apply_config(state: &Shared, reply: &SyncReply) -> bool {
     let known = state.board.config.read();
     let revision = known.as_ref().as_ref().map_or(0, |known| known.revision);
     if reply.revision < revision {
-        // An accepted configuration never reverts. A member that has less
-        // than this entry can't be a leader with a quorum.
+        // The revision of an accepted configuration never decreases. A member
+        // with a lower revision than this entry cannot be a leader with a
+        // quorum.
         error!(
             target: "sync",
-            "Control has revision {} below {revision}.", reply.revision
+            "Control sent configuration revision {}, which is below \
+             {revision}.",
+            reply.revision
         );
         return false;
     }
@@ -123,14 +130,18 @@
     let (Some(base), Some(overlay)) = (&reply.base, &reply.overlay) else {
         error!(
             target: "sync",
-            "Revision {} has nothing for {}.",
+            "Configuration revision {} has no base or no overlay for data \
+             centre {}.",
             reply.revision, state.info.data_centre
         );
         return false;
     };
     match config::render(base, overlay) {
         Ok(config) => {
-            info!(target: "sync", "Revision {} is in force.", reply.revision);
+            info!(
+                target: "sync",
+                "Configuration revision {} is in force.", reply.revision
+            );
             state.metrics.revision.set(reply.revision as i64);
             state.fleet().rebuild(Some(&config));
             state.admission.configure(&config);
@@ -141,14 +152,17 @@
         }
         Err(problems) => {
             for problem in problems {
-                error!(target: "sync", "Can't render: {problem}.");
+                error!(
+                    target: "sync",
+                    "Can't render the configuration: {problem}."
+                );
             }
             false
         }
     }
 }
 
-fn take_fleet(state: &Shared, reply: &SyncReply) {
+fn apply_fleet(state: &Shared, reply: &SyncReply) {
     let config = state.board.config.read();
     let config = config.as_ref().as_ref().map(|known| &known.config);
     let mut fleet = state.fleet();
@@ -156,7 +170,8 @@
         let endpoints = reply.endpoints.clone();
         fleet.set_endpoints(reply.fleet_version, endpoints, config);
         state.board.departed.update(|departed| {
-            // What was heard here first is kept: it has the same content.
+            // Departures that this entry received first stay in the list;
+            // their content is the same.
             for record in &reply.departed {
                 upsert(departed, record.clone(), super::endpoints::record_id);
             }
@@ -165,24 +180,25 @@
     fleet.report(state.now(), &reply.loads);
 }
 
-fn take_entries(state: &Shared, versions: &mut Versions, reply: &SyncReply) {
+fn apply_entries(state: &Shared, versions: &mut Versions, reply: &SyncReply) {
     if reply.entries_version == versions.entries {
         return;
     }
     versions.entries = reply.entries_version;
     let mut entries = reply.entries.clone();
     if reply.settling {
-        // A new leader has not heard from all yet. Dropping an entry now
-        // would have its buddies take over requests that it still runs.
+        // A new leader has not yet received syncs from all entries. If this
+        // entry dropped one of them from its list now, backup entries would
+        // take over requests that the dropped entry still runs.
         for old in state.board.entries.read().iter() {
             if !entries.iter().any(|new| new.id == old.id) {
                 entries.push(old.clone());
             }
         }
-        // Ask again until the list is whole.
+        // Version 0 requests the list again until it is complete.
         versions.entries = 0;
     }
-    entries.sort_by(|one, other| one.id.cmp(&other.id));
+    entries.sort_by(|left, right| left.id.cmp(&right.id));
     let others = entries
         .iter()
         .filter(|entry| entry.serving && entry.id != state.info.id)
