--- a/src/entry/state.rs
+++ b/src/entry/state.rs
@@ -1,4 +1,5 @@
-//! What the parts of an entry share: settings, board, clients, tables.
+//! State shared by the components of an entry: settings, board, clients,
+//! tables.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -21,11 +22,11 @@
 };
 
 common! {
-    /// The configuration in force here.
+    /// The configuration in force at this entry.
     pub struct InForce {
-        /// Its revision; never goes down.
+        /// Revision of the configuration; never decreases.
         pub revision: u64,
-        /// Rendered for this entry's data centre.
+        /// The configuration, rendered for this entry's data centre.
         pub config: Config,
     }
 }
@@ -33,97 +34,100 @@
 common! {
     /// An entry's right to take new requests.
     pub struct Lease {
-        /// By the timer's clock, in ms.
+        /// End of the lease by the timer's clock, in ms.
         pub until: u64,
-        /// Whether a read through the quorum has been made since the start.
+        /// Whether this entry has synced through a quorum of control since its
+        /// start.
         pub fresh: bool,
     }
 }
 
-/// The cells that the controllers of one entry read and write.
+/// The cells through which the controllers of an entry exchange state.
 #[derive(Debug)]
 pub struct Board {
-    /// Written by `sync`.
+    /// The configuration in force. Written by `sync`.
     pub config: Cell<Option<InForce>>,
-    /// Written by `sync`.
+    /// The lease. Written by `sync`.
     pub lease: Cell<Lease>,
     /// All entries of the system, sorted by id. Written by `sync`.
     pub entries: Cell<Vec<EntryInfo>>,
-    /// Endpoints that have left, sorted by id. Written by `endpoints`.
+    /// Endpoints that are leaving or have departed, sorted by id. Written by
+    /// `endpoints`.
     pub departed: Cell<Vec<EndpointRecord>>,
-    /// Newest order to each endpoint. Written by `sync`.
+    /// The latest order to each endpoint. Written by `sync`.
     pub orders: Cell<Vec<OrderRecord>>,
-    /// Written by `drain`.
+    /// Whether this entry is draining. Written by `drain`.
     pub draining: Cell<bool>,
 }
 
-/// Everything that one entry's parts share.
+/// State shared by the components of an entry.
 #[derive(Debug)]
 pub struct State {
-    /// As checked at start.
+    /// Settings, validated at start.
     pub settings: settings::Entry,
-    /// This process, as others know it; `serving` and `in_force` are not
-    /// kept up to date here.
+    /// This process, as it announces itself to control and other entries.
+    /// `serving` and `in_force` are not updated here.
     pub info: EntryInfo,
-    /// The clock.
+    /// The entry's clock.
     pub timer: Timer,
-    /// What the controllers share.
+    /// The cells shared by the controllers.
     pub board: Board,
-    /// The control members.
+    /// Client of the control members.
     pub control: Client,
-    /// Endpoints and where to send.
+    /// Endpoints, with a router for each service.
     pub fleet: Mutex<Fleet>,
-    /// Heartbeats to pass on to control.
+    /// Endpoint heartbeats to forward to control.
     pub renewals: Renewals,
-    /// Requests known here.
+    /// Model requests that this entry knows.
     pub requests: Table,
-    /// The other entries.
+    /// Links to the other entries.
     pub peers: Peers,
-    /// Who may start.
+    /// Admission control.
     pub admission: Admission,
-    /// Requests that may have ended endpoints.
+    /// Requests that may have crashed endpoints.
     pub quarantine: Mutex<Quarantine>,
-    /// How many retries there may be.
+    /// The retry budget.
     pub retries: Mutex<Budget>,
-    /// Connections to endpoints.
+    /// Sends requests to endpoints.
     pub dispatcher: Dispatcher,
-    /// Counters.
+    /// Metrics of this entry.
     pub metrics: Metrics,
-    /// Where work goes that must outlive a caller's connection.
+    /// Runtime for tasks that must outlive a caller's connection.
     pub runtime: Handle,
 }
 
-/// How all parts hold the state.
+/// Shared handle to the state.
 pub type Shared = Arc<State>;
 
 impl State {
-    /// Milliseconds of the timer's clock.
+    /// Returns the time of the timer's clock, in ms.
     pub fn now(&self) -> u64 {
         self.timer.now()
     }
 
-    /// The endpoints, locked; never held across an await.
+    /// Locks the fleet. The guard must not be held across an await.
     pub fn fleet(&self) -> MutexGuard<'_, Fleet> {
         self.fleet.lock().unwrap_or_else(|held| held.into_inner())
     }
 
-    /// Requests that may have ended endpoints, locked.
+    /// Locks the quarantine.
     pub fn quarantine(&self) -> MutexGuard<'_, Quarantine> {
         self.quarantine.lock().unwrap_or_else(|held| held.into_inner())
     }
 
-    /// The retry budget, locked.
+    /// Locks the retry budget.
     pub fn retries(&self) -> MutexGuard<'_, Budget> {
         self.retries.lock().unwrap_or_else(|held| held.into_inner())
     }
 
-    /// True while this entry may take a new request.
+    /// Returns whether this entry holds a lease, and so may accept new
+    /// requests.
     pub fn holds_lease(&self) -> bool {
         let lease = self.board.lease.read();
         lease.fresh && self.now() < lease.until
     }
 
-    /// True for an entry that is to be handed out to callers.
+    /// Returns whether this entry's address may be given to callers.
     pub fn is_serving(&self) -> bool {
         !*self.board.draining.read()
             && self.holds_lease()
