--- a/tests/all/cluster.rs
+++ b/tests/all/cluster.rs
@@ -1,7 +1,8 @@
-//! A whole system as processes, for scenarios.
+//! Runs a whole cluster as local processes, for scenarios and benches.
 //!
-//! Every process has an address of its own in 127.0.0.0/8 and keeps it over
-//! restarts. Every link between two of them goes through a [`Relay`].
+//! Each process has its own address in 127.0.0.0/8 and keeps it across
+//! restarts. Links between processes go through a [`Relay`], except that
+//! entries may connect to endpoints directly ([`Shape::relay_endpoints`]).
 
 use std::{
     collections::BTreeMap,
@@ -30,12 +31,13 @@
 
 use super::relay::Relay;
 
-/// Waits are generous: a busy machine must not change a verdict.
+/// Timeout of waits and calls, long enough that a busy machine does not fail
+/// a test.
 pub const LONG: Duration = Duration::from_secs(60);
 const PORT: u16 = 7700;
 const PEER_PORT: u16 = 7701;
 
-/// Stands for all entries, in links to endpoints.
+/// Name of the source of links to endpoints, which all entries share.
 const ENTRIES: &str = "entries";
 
 static CLUSTERS: AtomicU32 = AtomicU32::new(0);
@@ -52,11 +54,11 @@
     role: Role,
     number: u8,
     child: Option<Child>,
-    /// Flags besides those that follow from the role.
+    /// Flags in addition to those that the role requires.
     extra: Vec<String>,
 }
 
-/// What is asked for.
+/// Processes, configuration and flags of a cluster.
 #[derive(Clone, Debug)]
 pub struct Shape {
     pub controls: u8,
@@ -68,7 +70,7 @@
     pub control_flags: Vec<String>,
     pub model_flags: Vec<String>,
     pub plain_flags: Vec<String>,
-    /// Whether entries reach endpoints through a relay too.
+    /// Whether entries connect to endpoints through a relay too.
     pub relay_endpoints: bool,
 }
 
@@ -94,7 +96,7 @@
     }
 }
 
-fn letter(role: Role) -> char {
+fn role_letter(role: Role) -> char {
     match role {
         Role::Control => 'c',
         Role::Entry => 'e',
@@ -103,7 +105,7 @@
     }
 }
 
-/// A /24 of loopback that nobody in this run uses.
+/// Returns the second and third byte of a loopback /24 that is not in use.
 fn free_network() -> (u8, u8) {
     let start = std::process::id();
     loop {
@@ -118,7 +120,7 @@
 }
 
 impl Cluster {
-    /// Starts everything, in no particular order.
+    /// Starts all processes.
     pub fn open(shape: Shape) -> Cluster {
         let network = free_network();
         let folder = std::env::temp_dir().join(format!(
@@ -151,7 +153,7 @@
             for number in 1..=count {
                 let extra = flags.clone();
                 let process = Process { role, number, child: None, extra };
-                let name = format!("{}{number}", letter(role));
+                let name = format!("{}{number}", role_letter(role));
                 cluster.processes.insert(name, process);
             }
         }
@@ -164,7 +166,7 @@
 
     fn ip(&self, name: &str) -> Ipv4Addr {
         let process = &self.processes[name];
-        let part = match process.role {
+        let host_offset = match process.role {
             Role::Control => 0,
             Role::Entry => 50,
             Role::Model => 100,
@@ -174,24 +176,25 @@
             127,
             self.network.0,
             self.network.1,
-            part + process.number,
+            host_offset + process.number,
         )
     }
 
-    /// Where a process listens.
+    /// Returns the address on which a process listens.
     pub fn address(&self, name: &str) -> SocketAddr {
         SocketAddr::from((self.ip(name), PORT))
     }
 
     pub fn names(&self, role: Role) -> Vec<String> {
-        let chosen = self.processes.iter();
-        chosen
+        let processes = self.processes.iter();
+        processes
             .filter(|(_, process)| process.role == role)
             .map(|(name, _)| name.clone())
             .collect()
     }
 
-    /// The link from one process to another's main address.
+    /// Returns the address of the relay from one process to another, starting
+    /// the relay on first use.
     fn link(&mut self, from: &str, to: &str) -> SocketAddr {
         let key = (from.to_owned(), to.to_owned());
         if let Some(relay) = self.links.get(&key) {
@@ -281,18 +284,18 @@
                 (programs.join("examples/standin"), flags)
             }
         };
-        let mut words = Vec::new();
+        let mut arguments = Vec::new();
         for (flag, value) in flags.drain(..) {
-            words.extend([flag.to_owned(), value]);
+            arguments.extend([flag.to_owned(), value]);
         }
-        words.extend(extra);
+        arguments.extend(extra);
         let log = fs::OpenOptions::new()
             .create(true)
             .append(true)
             .open(self.folder.join(format!("{name}.log")))
             .expect("a log");
         let mut child = Command::new(&program)
-            .args(words)
+            .args(arguments)
             .stdout(Stdio::piped())
             .stderr(log)
             .spawn()
@@ -324,14 +327,15 @@
         self.folder.join(format!("data-{name}"))
     }
 
-    /// The file in which plain stand-ins note their runs.
+    /// Returns how often plain stand-ins ran the request with this key,
+    /// according to the file to which they append their runs.
     pub fn runs(&self, key: &str) -> usize {
         let text = fs::read_to_string(self.folder.join("runs"));
         let text = text.unwrap_or_default();
         text.lines().filter(|line| *line == key).count()
     }
 
-    /// The log of a process, for failures.
+    /// Returns the log of a process.
     pub fn log(&self, name: &str) -> String {
         let path = self.folder.join(format!("{name}.log"));
         fs::read_to_string(path).unwrap_or_default()
@@ -346,8 +350,8 @@
         self.processes[name].child.is_some()
     }
 
-    /// True where it was not killed and has not ended by itself.
-    pub fn lives(&mut self, name: &str) -> bool {
+    /// Returns whether a process was not killed and has not exited by itself.
+    pub fn is_alive(&mut self, name: &str) -> bool {
         let child = self.processes.get_mut(name).unwrap().child.as_mut();
         child.is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
@@ -356,7 +360,7 @@
         self.child(name).id()
     }
 
-    /// Puts the first configuration in force.
+    /// Applies the first configuration.
     pub fn apply_first(&mut self) {
         let config = self.config("first", 0, 8000);
         let applied = self.propose(change::Kind::Apply(config));
@@ -369,7 +373,7 @@
         assert!(sent.expect("kill runs").success(), "{signal} {name}");
     }
 
-    /// kill -9.
+    /// Kills a process (SIGKILL) and waits until it has exited.
     pub fn kill(&mut self, name: &str) {
         let child = self.child(name);
         child.kill().expect("a process can be killed");
@@ -377,10 +381,10 @@
         self.processes.get_mut(name).expect("known").child = None;
     }
 
-    /// Waits for a process to end by itself; returns its exit code.
+    /// Waits until a process exits by itself and returns its exit code.
     pub fn wait_end(&mut self, name: &str) -> Option<i32> {
-        let give_up = Instant::now() + LONG;
-        while Instant::now() < give_up {
+        let deadline = Instant::now() + LONG;
+        while Instant::now() < deadline {
             let ended = self.child(name).try_wait().expect("a status");
             if let Some(status) = ended {
                 self.processes.get_mut(name).expect("known").child = None;
@@ -388,15 +392,15 @@
             }
             sleep(Duration::from_millis(20));
         }
-        panic!("{name} did not end");
+        panic!("{name} did not exit in time");
     }
 
-    /// SIGTERM.
+    /// Sends SIGTERM to a process.
     pub fn terminate(&mut self, name: &str) {
         self.signal(name, "-TERM");
     }
 
-    /// SIGHUP.
+    /// Sends SIGHUP to a process.
     pub fn hang_up(&mut self, name: &str) {
         self.signal(name, "-HUP");
     }
@@ -409,12 +413,13 @@
         self.signal(name, "-CONT");
     }
 
-    /// Empties a stopped member's data folder.
+    /// Removes the data folder of a stopped member.
     pub fn wipe(&mut self, name: &str) {
         fs::remove_dir_all(self.data_folder(name)).expect("a folder");
     }
 
-    /// Silences or mends all links of a process with others of a role.
+    /// Silences or restores the links between a process and processes of a
+    /// role, or all its links if `role` is `None`.
     pub fn cut(&mut self, name: &str, role: Option<Role>, silent: bool) {
         for ((from, to), relay) in &self.links {
             let other = match (from == name, to == name) {
@@ -422,16 +427,16 @@
                 (_, true) => from,
                 _ => continue,
             };
-            let others_role =
+            let other_role =
                 self.processes.get(other).map(|process| process.role);
-            let role_fits = role.is_none() || role == others_role;
-            if role_fits {
+            let role_matches = role.is_none() || role == other_role;
+            if role_matches {
                 relay.set_silent(silent);
             }
         }
     }
 
-    /// Bytes that a process's links have carried.
+    /// Returns the number of bytes sent over all links of a process.
     pub fn carried(&self, name: &str) -> u64 {
         let links = self.links.iter();
         links
@@ -440,7 +445,8 @@
             .sum()
     }
 
-    /// Bytes between a process and the control members.
+    /// Returns the number of bytes sent over the links from a process to the
+    /// control members.
     pub fn carried_control(&self, name: &str) -> u64 {
         let links = self.links.iter();
         links
@@ -449,8 +455,9 @@
             .sum()
     }
 
-    /// All open connections to a process go silent for good.
-    pub fn forget_connections(&self, name: &str) {
+    /// Silences the open connections to a process permanently; new connections
+    /// work.
+    pub fn silence_open_connections(&self, name: &str) {
         for ((_, to), relay) in &self.links {
             if to == name {
                 relay.forget_open();
@@ -458,7 +465,7 @@
         }
     }
 
-    // ---- Asking -------------------------------------------------------------
+    // ---- Calls -------------------------------------------------------------
 
     pub fn control(&self) -> Client {
         let names = self.names(Role::Control);
@@ -493,7 +500,8 @@
         }
     }
 
-    /// Asks one member only; `None` when it does not lead or answer.
+    /// Reads the status from one member only. Returns `None` if it is not the
+    /// leader or does not answer.
     pub fn status_of(&self, name: &str) -> Option<StatusReply> {
         let client = self.control_at(&[name]);
         let query = Query { kind: Some(query::Kind::Status(Empty {})) };
@@ -509,7 +517,7 @@
         format!("c{}", self.status().leader)
     }
 
-    /// A configuration that differs by its drain time.
+    /// Returns the cluster's configuration with the given drain time in ms.
     pub fn config(
         &self,
         change_id: &str,
@@ -533,21 +541,22 @@
         }
     }
 
-    /// Polls until it holds; says what it waited for when it never does.
+    /// Polls until a condition holds. Panics with its name if it does not hold
+    /// in time.
     pub fn wait(&self, what: &str, mut holds: impl FnMut(&Cluster) -> bool) {
-        let give_up = Instant::now() + LONG;
+        let deadline = Instant::now() + LONG;
         while !holds(self) {
-            if Instant::now() > give_up {
+            if Instant::now() > deadline {
                 for name in self.processes.keys() {
                     eprintln!("---- {name}\n{}", self.log(name));
                 }
-                panic!("waited in vain for {what}");
+                panic!("condition {what} did not hold in time");
             }
             sleep(Duration::from_millis(20));
         }
     }
 
-    /// One HTTP call to a process, without anything that repeats it.
+    /// Sends one HTTP call to a process, without retries.
     pub fn http(
         &self,
         name: &str,
@@ -577,7 +586,7 @@
         serde_json::from_slice(&body).unwrap_or_default()
     }
 
-    /// Sets a stand-in's fault.
+    /// Sets a fault of a stand-in endpoint.
     pub fn fault(&self, name: &str, fault: &str, at: Option<u64>) {
         let body = match at {
             Some(at) => json!({ "fault": fault, "at": at }),
@@ -590,7 +599,7 @@
     }
 }
 
-/// The folder with the programs under test.
+/// Returns the folder with the programs under test.
 fn programs() -> PathBuf {
     let entry = PathBuf::from(env!("CARGO_BIN_EXE_azuremount-entry"));
     entry.parent().expect("a folder").to_owned()
--- a/tests/all/scenario.rs
+++ b/tests/all/scenario.rs
@@ -1,7 +1,7 @@
-//! Scenarios: stories of failures over real processes, in `scenarios/*.scn`.
+//! Failure scenarios over real processes, in `scenarios/*.scn`.
 //!
-//! Each file tells its symptom, sequence and cause first; then come commands
-//! and what they must print. The language has few words; see [`Step`].
+//! Each file starts with the symptom, sequence and cause of a failure. Then
+//! follow commands and their expected output; see [`Step`].
 
 use std::{
     collections::BTreeMap,
@@ -57,22 +57,22 @@
 silence_ms = 1500
 "#;
 
-/// What a background call came to.
-type Ended = mpsc::Receiver<String>;
+/// Receives the formatted answer of a background call.
+type BackgroundAnswer = mpsc::Receiver<String>;
 
 #[derive(Default)]
-struct Story {
+struct Scenario {
     cluster: Option<Cluster>,
-    background: BTreeMap<String, Ended>,
-    /// The control member that was frozen or isolated as `leader`.
-    set_aside: String,
-    /// Incarnations whose data folder was emptied.
+    background: BTreeMap<String, BackgroundAnswer>,
+    /// Process that was last frozen, or isolated as the leader.
+    unresponsive: String,
+    /// Incarnations of members whose data folder was wiped.
     lost_disks: Vec<u64>,
-    /// Highest revision seen at each entry, which must never fall.
-    seen: BTreeMap<String, u64>,
+    /// Last seen revision of each entry, which must not decrease.
+    last_revisions: BTreeMap<String, u64>,
 }
 
-impl Runner for Story {
+impl Runner for Scenario {
     type Command = Step;
 
     fn run(&mut self, step: &Step, _: &Context) -> Answer {
@@ -103,44 +103,44 @@
                     relay_endpoints: !direct.unwrap_or(false),
                 })
             }
-            Step::Start(target) => self.act(target, Cluster::start),
+            Step::Start(target) => self.run_on(target, Cluster::start),
             Step::RestartKilled => {
                 self.cluster().restart_killed();
                 Ok(String::new())
             }
             Step::ThawFrozen => {
-                let name = self.set_aside.clone();
-                self.act(&name, Cluster::thaw)
+                let name = self.unresponsive.clone();
+                self.run_on(&name, Cluster::thaw)
             }
             Step::IsolateLeader => {
-                let name = self.named("leader");
-                self.set_aside = name.clone();
+                let name = self.resolve("leader");
+                self.unresponsive = name.clone();
                 self.cut(&name, None, true)
             }
             Step::MendIsolated => {
-                let name = self.set_aside.clone();
+                let name = self.unresponsive.clone();
                 self.cut(&name, None, false)
             }
             Step::ApplyAtIsolated { id, from } => {
                 self.apply_at_isolated(id, *from)
             }
-            Step::Kill(target) => self.act(target, Cluster::kill),
-            Step::Terminate(target) => self.act(target, Cluster::terminate),
+            Step::Kill(target) => self.run_on(target, Cluster::kill),
+            Step::Terminate(target) => self.run_on(target, Cluster::terminate),
             Step::Freeze(target) => {
-                let name = self.named(target);
-                self.set_aside = name.clone();
-                self.act(&name, Cluster::freeze)
+                let name = self.resolve(target);
+                self.unresponsive = name.clone();
+                self.run_on(&name, Cluster::freeze)
             }
-            Step::Thaw(target) => self.act(target, Cluster::thaw),
+            Step::Thaw(target) => self.run_on(target, Cluster::thaw),
             Step::Wipe(target) => {
-                let name = self.named(target);
+                let name = self.resolve(target);
                 let members = self.cluster().status().members;
                 let lost = members
                     .iter()
                     .find(|member| format!("c{}", member.id) == name)
                     .ok_or("no such member")?;
                 self.lost_disks.push(lost.incarnation);
-                self.act(&name, |cluster, name| {
+                self.run_on(&name, |cluster, name| {
                     cluster.kill(name);
                     cluster.wipe(name);
                     cluster.start(name);
@@ -154,8 +154,8 @@
             Step::MendControl(target) => {
                 self.cut(target, Some(Role::Control), false)
             }
-            Step::Forget(target) => self.act(target, |cluster, name| {
-                cluster.forget_connections(name);
+            Step::Forget(target) => self.run_on(target, |cluster, name| {
+                cluster.silence_open_connections(name);
             }),
             Step::Ended(target) => {
                 let code = self.cluster().wait_end(target);
@@ -193,7 +193,7 @@
                 let path = format!("/v1/requests/{key}");
                 let cluster = self.cluster();
                 let answer = cluster.http(entry, Method::GET, &path, &[], "");
-                Ok(tell(answer))
+                Ok(format_answer(answer))
             }
             Step::Runs(key) => {
                 Ok(format!("ran {} times", self.cluster().runs(key)))
@@ -206,15 +206,16 @@
             Step::RunningModels => {
                 let cluster = self.cluster();
                 let names = cluster.names(Role::Model);
-                let running = names.iter().filter(|name| cluster.lives(name));
+                let running =
+                    names.iter().filter(|name| cluster.is_alive(name));
                 Ok(running.count().to_string())
             }
             Step::Entries(entry) => self.entries(entry),
             Step::Leave { endpoint, entry } => {
-                self.tell_entry(endpoint, entry, "leave")
+                self.send_to_entry(endpoint, entry, "leave")
             }
             Step::LateHeartbeat { endpoint, entry } => {
-                self.tell_entry(endpoint, entry, "heartbeat")
+                self.send_to_entry(endpoint, entry, "heartbeat")
             }
         }
     }
@@ -232,7 +233,7 @@
     ]
 }
 
-impl Story {
+impl Scenario {
     fn cluster(&mut self) -> &mut Cluster {
         self.cluster.as_mut().expect("a cluster")
     }
@@ -247,8 +248,9 @@
         Ok(String::new())
     }
 
-    /// A process by name; `leader` and `follower` mean what they say.
-    fn named(&mut self, target: &str) -> String {
+    /// Resolves a process name; `leader` and `follower` resolve to a control
+    /// member with that role.
+    fn resolve(&mut self, target: &str) -> String {
         match target {
             "leader" => self.cluster().leader(),
             "follower" => {
@@ -264,13 +266,13 @@
         }
     }
 
-    fn act(
+    fn run_on(
         &mut self,
         target: &str,
-        act: impl FnOnce(&mut Cluster, &str),
+        action: impl FnOnce(&mut Cluster, &str),
     ) -> Answer {
-        let name = self.named(target);
-        act(self.cluster(), &name);
+        let name = self.resolve(target);
+        action(self.cluster(), &name);
         Ok(String::new())
     }
 
@@ -280,18 +282,18 @@
         role: Option<Role>,
         silent: bool,
     ) -> Answer {
-        self.act(target, |cluster, name| cluster.cut(name, role, silent))
+        self.run_on(target, |cluster, name| cluster.cut(name, role, silent))
     }
 
     fn apply(&mut self, id: &str, from: u64, drain: u64) -> Answer {
         let config = self.cluster().config(id, from, drain);
         let kind = change::Kind::Apply(config);
-        tell_applied(self.cluster().propose(kind))
+        format_applied(self.cluster().propose(kind))
     }
 
-    /// The leader's own side of a cut still reaches it.
+    /// Proposes a change to the isolated leader directly, not over a relay.
     fn apply_at_isolated(&mut self, id: &str, from: u64) -> Answer {
-        let name = self.set_aside.clone();
+        let name = self.unresponsive.clone();
         let cluster = self.cluster();
         let change = cluster.config(id, from, 8000);
         let change =
@@ -305,7 +307,8 @@
         }
     }
 
-    /// Two operators hand in changes made from the same revision at once.
+    /// Proposes the changes of two operators at once, both made from the same
+    /// revision.
     fn race(&mut self, from: u64) -> Answer {
         let cluster = self.cluster();
         let changes = ["one", "two"].map(|operator| {
@@ -321,9 +324,9 @@
                 clients[1].propose(two, LONG, true)
             )
         });
-        let mut told = [tell_applied(one)?, tell_applied(two)?];
-        told.sort();
-        Ok(told.join("\n"))
+        let mut outcomes = [format_applied(one)?, format_applied(two)?];
+        outcomes.sort();
+        Ok(outcomes.join("\n"))
     }
 
     fn wait(&mut self, what: &str, argument: &str) -> Answer {
@@ -331,20 +334,21 @@
             let lost = self.lost_disks.clone();
             self.cluster().wait("repair", |cluster| {
                 let status = cluster.status();
-                let sound = |member: &azuremount::wire::Member| {
+                let is_repaired = |member: &azuremount::wire::Member| {
                     member.voter && !lost.contains(&member.incarnation)
                 };
-                status.members.iter().all(sound)
+                status.members.iter().all(is_repaired)
                     && status.survivable_losses > 0
             });
             return Ok(String::new());
         }
-        let mut seen = std::mem::take(&mut self.seen);
+        let mut last_revisions = std::mem::take(&mut self.last_revisions);
         let cluster = self.cluster();
         let number = argument.parse::<u64>().unwrap_or(0);
-        let lower = cluster.wait_for(what, number, argument, &mut seen);
-        self.seen = seen;
-        match lower {
+        let decrease =
+            cluster.wait_for(what, number, argument, &mut last_revisions);
+        self.last_revisions = last_revisions;
+        match decrease {
             Some(text) => Err(text.into()),
             None => Ok(String::new()),
         }
@@ -369,7 +373,7 @@
         let path = format!("/v1/services/alerts{path}");
         let cluster = self.cluster();
         let answer = cluster.http(entry, Method::POST, &path, &headers, body);
-        Ok(tell(answer))
+        Ok(format_answer(answer))
     }
 
     fn insist(&mut self, key: &str, entry: &str) -> Answer {
@@ -382,7 +386,7 @@
             body: "UV 11".into(),
         };
         let answer = cluster.runtime.block_on(caller.call(call, LONG));
-        Ok(tell(answer))
+        Ok(format_answer(answer))
     }
 
     fn send_later(&mut self, key: &str, entry: &str) -> Answer {
@@ -409,12 +413,13 @@
         self.cluster().runtime.spawn(async move {
             let dispatcher = azuremount::entry::dispatch::Dispatcher::open();
             let answer = dispatcher.exchange(call, LONG).await;
-            let _ = send.send(tell(answer));
+            let _ = send.send(format_answer(answer));
         });
         Ok(String::new())
     }
 
-    /// A caller that follows the rules: other entries, reading on.
+    /// Starts a streamed model call in the background. Its caller follows the
+    /// protocol: it continues at other entries, from the last piece.
     fn chat_later(&mut self, key: &str, entry: &str, tokens: u64) -> Answer {
         let address = self.cluster().address(entry);
         let prompt = format!("what about {key}");
@@ -425,13 +430,13 @@
             "messages": [{ "role": "user", "content": prompt }],
         });
         let (send, ended) = mpsc::channel();
-        let (begin, begun) = mpsc::channel();
+        let (first_piece_sender, first_piece) = mpsc::channel();
         self.background.insert(key.to_owned(), ended);
         let key = key.to_owned();
         self.cluster().runtime.spawn(async move {
             let mut caller = Caller::open(&[address], "red");
             let on_piece = |_: &str| {
-                let _ = begin.send(());
+                let _ = first_piece_sender.send(());
             };
             let result = caller.chat(&body, &key, LONG, on_piece).await;
             let _ = send.send(match result {
@@ -444,8 +449,8 @@
                 }
             });
         });
-        // The story goes on once the first piece has come.
-        begun.recv_timeout(LONG)?;
+        // The scenario continues once the first piece has arrived.
+        first_piece.recv_timeout(LONG)?;
         Ok(String::new())
     }
 
@@ -478,8 +483,8 @@
         Ok(found.join(" "))
     }
 
-    /// Says something to an entry in an endpoint's name.
-    fn tell_entry(
+    /// Sends a message to an entry in the name of an endpoint.
+    fn send_to_entry(
         &mut self,
         endpoint: &str,
         entry: &str,
@@ -507,7 +512,7 @@
             &[],
             &body.to_string(),
         );
-        Ok(tell(answer))
+        Ok(format_answer(answer))
     }
 }
 
@@ -517,9 +522,9 @@
         what: &str,
         number: u64,
         name: &str,
-        seen: &mut BTreeMap<String, u64>,
+        last_revisions: &mut BTreeMap<String, u64>,
     ) -> Option<String> {
-        let mut lower = None;
+        let mut decrease = None;
         self.wait(what, |cluster| {
             if what == "leader" {
                 return cluster
@@ -535,13 +540,15 @@
                 return cluster.runs(name) > 0;
             }
             let status = cluster.status();
-            // An entry that has just started has nothing and serves nobody.
-            let serving = status.entries.iter().filter(|one| one.serving);
+            // An entry that has just started has no configuration and is not
+            // serving.
+            let serving = status.entries.iter().filter(|entry| entry.serving);
             for entry in serving {
-                let before = seen.entry(entry.id.clone()).or_default();
+                let before =
+                    last_revisions.entry(entry.id.clone()).or_default();
                 if entry.in_force < *before {
-                    lower = Some(format!(
-                        "{} went back from {before} to {}",
+                    decrease = Some(format!(
+                        "revision of {} decreased from {before} to {}",
                         entry.id, entry.in_force
                     ));
                 }
@@ -559,7 +566,7 @@
             match what {
                 "serving" => {
                     let serving =
-                        status.entries.iter().filter(|one| one.serving);
+                        status.entries.iter().filter(|entry| entry.serving);
                     serving.count() as u64 == number
                 }
                 "not_listed" => status
@@ -578,25 +585,26 @@
                 }
                 "survivable" => u64::from(status.survivable_losses) == number,
                 "voters" => {
-                    let voters = status.members.iter().filter(|one| one.voter);
+                    let voters =
+                        status.members.iter().filter(|member| member.voter);
                     voters.count() as u64 == number
                         && status.members.len() as u64 == number
                 }
-                _ => panic!("nothing to wait for called {what}"),
+                _ => panic!("unknown condition {what}"),
             }
         });
-        lower
+        decrease
     }
 }
 
-/// What the stand-in engine answers.
+/// Returns the answer that the stand-in engine generates.
 fn expected(content: &str, tokens: u64) -> String {
     let prompt = format!("user\n{content}\n");
     let sum = crc32fast::hash(prompt.as_bytes());
     (0..tokens).map(|offset| format!("{sum:08x}.{offset} ")).collect()
 }
 
-fn tell(
+fn format_answer(
     answer: Result<
         azuremount::entry::dispatch::Answer,
         azuremount::entry::dispatch::Failed,
@@ -604,8 +612,8 @@
 ) -> String {
     let answer = match answer {
         Ok(answer) => answer,
-        // Only the entry itself may say "not run"; what the test's own
-        // connection went through is something else.
+        // Only the entry may answer "not run"; a failure of the test's own
+        // connection is not the entry's verdict.
         Err(_) => return "no answer".to_owned(),
     };
     let verdict = answer
@@ -613,14 +621,14 @@
         .get(Verdict::HEADER)
         .and_then(|value| value.to_str().ok())
         .unwrap_or("no verdict");
-    let comes_back = match answer.headers.contains_key("retry-after") {
+    let retry_note = match answer.headers.contains_key("retry-after") {
         true => ", come back",
         false => "",
     };
-    format!("{} {verdict}{comes_back}", answer.status.as_u16())
+    format!("{} {verdict}{retry_note}", answer.status.as_u16())
 }
 
-fn tell_applied(
+fn format_applied(
     outcome: Result<
         azuremount::wire::Outcome,
         azuremount::control::client::Error,
@@ -638,32 +646,36 @@
     })
 }
 
-/// Runs one story; its file says what must come out.
-fn tell_story(name: &str) {
+/// Runs a scenario and compares its output with the expected output in its
+/// file.
+fn run_scenario(name: &str) {
     let path = format!(
         "{}/tests/all/scenarios/{name}.scn",
         env!("CARGO_MANIFEST_DIR")
     );
-    let began = Instant::now();
-    let mut story = Story::default();
-    goldenscript::run(&mut story, std::path::Path::new(&path))
+    let started_at = Instant::now();
+    let mut scenario = Scenario::default();
+    goldenscript::run(&mut scenario, std::path::Path::new(&path))
         .unwrap_or_else(|error| panic!("{name}: {error}"));
-    let took = began.elapsed();
-    assert!(took < Duration::from_secs(600), "{name} hangs");
+    let elapsed = started_at.elapsed();
+    assert!(
+        elapsed < Duration::from_secs(600),
+        "{name} took longer than 600 s"
+    );
 }
 
-macro_rules! stories {
+macro_rules! scenarios {
     ($($name:ident)*) => {
         $(
             #[test]
             fn $name() {
-                tell_story(stringify!($name));
+                run_scenario(stringify!($name));
             }
         )*
     };
 }
 
-stories! {
+scenarios! {
     alert_claim_lost
     alert_endpoint_dies
     alert_endpoint_silent
--- a/tests/all/steps.rs
+++ b/tests/all/steps.rs
@@ -1,13 +1,13 @@
-//! The small language of the scenarios.
+//! The commands of the scenario files.
 
-/// The words that stories are told in.
+/// A command of a scenario file.
 ///
-/// A process is named by a letter and a number: c1 a control member, e1 an
-/// entry, m1 a model engine, p1 a plain service; `leader` and `follower` are
-/// the control members that are that.
+/// A process is named by a letter and a number: c1 is a control member, e1 an
+/// entry, m1 a model engine, p1 a plain service. `leader` and `follower` name
+/// a control member by its current role.
 #[derive(goldenscript::Command)]
 pub enum Step {
-    /// Starts a system and waits until it serves: cluster controls=3
+    /// Starts a cluster and waits until it serves: cluster controls=3
     Cluster {
         #[arg(key)]
         controls: Option<u8>,
@@ -17,14 +17,14 @@
         models: Option<u8>,
         #[arg(key)]
         plains: Option<u8>,
-        /// Milliseconds of a piece, or of a plain call.
+        /// Time that a piece or a plain call takes, in ms.
         #[arg(key)]
         piece_ms: Option<u64>,
-        /// Milliseconds that an endpoint goes on after SIGTERM.
+        /// Time for which an endpoint still serves after SIGTERM, in ms.
         #[arg(key)]
         within_ms: Option<u64>,
-        /// Entries reach endpoints without a relay, which would take their
-        /// connections after they have ended.
+        /// Entries connect to endpoints without a relay. A relay would still
+        /// accept connections after the endpoint has exited.
         #[arg(key)]
         direct: Option<bool>,
     },
@@ -32,52 +32,52 @@
     Start(String),
     /// Starts all processes that were killed.
     RestartKilled,
-    /// kill -9.
+    /// Kills a process (SIGKILL).
     Kill(String),
-    /// SIGTERM.
+    /// Terminates a process (SIGTERM).
     Terminate(String),
-    /// SIGSTOP and SIGCONT.
+    /// Stops a process (SIGSTOP).
     Freeze(String),
+    /// Resumes a frozen process (SIGCONT).
     Thaw(String),
-    /// Lets the control member go on that was frozen as `leader`.
+    /// Resumes the process that `freeze` stopped last.
     ThawFrozen,
-    /// Makes all links of the leader silent, and mends them later.
+    /// Silences all links of the leader.
     IsolateLeader,
+    /// Restores the links of the isolated leader.
     MendIsolated,
-    /// An operator's change handed to the isolated leader itself.
-    ApplyAtIsolated {
-        id: String,
-        from: u64,
-    },
-    /// Kills a member and starts it again with an empty data folder.
+    /// Proposes an operator's change to the isolated leader directly.
+    ApplyAtIsolated { id: String, from: u64 },
+    /// Kills a member and restarts it with an empty data folder.
     Wipe(String),
-    /// Makes all links of a process silent, and mends them.
+    /// Silences all links of a process.
     Cut(String),
+    /// Restores all links of a process.
     Mend(String),
-    /// The same for its links with control members only.
+    /// Silences the links between a process and control members.
     CutControl(String),
+    /// Restores the links between a process and control members.
     MendControl(String),
-    /// Makes open connections to a process silent for good; new ones work.
+    /// Silences the open connections to a process permanently; new connections
+    /// work.
     Forget(String),
-    /// Waits for a process to end by itself.
+    /// Waits until a process exits by itself.
     Ended(String),
-    /// An operator's change: apply ID FROM [drain=MS]
+    /// Applies an operator's change: apply ID FROM [drain=MS]
     Apply {
         id: String,
         from: u64,
         #[arg(key)]
         drain: Option<u64>,
     },
-    /// So many changes one after the other.
+    /// Applies the given number of changes one after another.
     ApplyMany(u64),
-    /// Two operators at once, with changes from the same revision.
+    /// Applies the changes of two operators at once, both made from the given
+    /// revision.
     Race(u64),
-    /// Waits until something holds: see `Cluster::wait_for`.
-    Wait {
-        what: String,
-        argument: Option<String>,
-    },
-    /// A call that must not run twice: send KEY ENTRY
+    /// Waits until a condition holds; see `Cluster::wait_for`.
+    Wait { what: String, argument: Option<String> },
+    /// Sends a call that must not run twice: send KEY ENTRY
     Send {
         key: String,
         entry: String,
@@ -88,54 +88,41 @@
         #[arg(key)]
         deadline: Option<u64>,
     },
-    /// A caller that repeats it under its key until it is answered.
-    Insist {
-        key: String,
-        entry: String,
-    },
-    /// The same as `send` in the background; `outcome` waits for its answer.
-    SendLater {
-        key: String,
-        entry: String,
-    },
-    /// A streamed model call in the background, by a caller that follows the
-    /// rules; returns when its first piece has come.
+    /// Sends a call and retries it under its key until it is answered.
+    Insist { key: String, entry: String },
+    /// Sends a call in the background; `outcome` waits for its answer.
+    SendLater { key: String, entry: String },
+    /// Starts a streamed model call in the background, by a caller that reads
+    /// on at other entries. Returns when the first piece has arrived.
     ChatLater {
         key: String,
         entry: String,
         #[arg(key)]
         tokens: Option<u64>,
     },
-    /// What a background call came to.
+    /// Waits for the answer of a background call.
     Outcome(String),
-    /// Asks an entry for a request by its key.
-    Reread {
-        key: String,
-        entry: String,
-    },
-    /// How often the plain services ran a request.
+    /// Reads a request from an entry by its key.
+    Reread { key: String, entry: String },
+    /// Prints how often the plain services ran a request.
     Runs(String),
-    /// Sets a stand-in's fault: fault p1 silent
+    /// Sets a fault of a stand-in endpoint: fault p1 silent
     Fault {
         target: String,
         fault: String,
         #[arg(key)]
         at: Option<u64>,
     },
-    /// Resumed streams that did not continue what had been shown.
+    /// Prints the number of resumed streams that did not continue the text
+    /// already sent.
     WrongResumes,
-    /// How many model engines run.
+    /// Prints the number of running model engines.
     RunningModels,
-    /// The entries that an entry hands out.
+    /// Prints the entries whose addresses an entry gives to callers.
     Entries(String),
-    /// An endpoint's notice that it leaves, told to an entry.
-    Leave {
-        endpoint: String,
-        entry: String,
-    },
-    /// An endpoint's late heartbeat, with the incarnation that left.
-    LateHeartbeat {
-        endpoint: String,
-        entry: String,
-    },
+    /// Sends an entry an endpoint's notice that it leaves.
+    Leave { endpoint: String, entry: String },
+    /// Sends an entry a late heartbeat, with the incarnation of an endpoint
+    /// that left.
+    LateHeartbeat { endpoint: String, entry: String },
 }
