--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -1,11 +1,11 @@
-//! Model requests: accepted, run to the end, wherever endpoints and entries
-//! go meanwhile.
+//! Accepts model requests and runs them to completion, across departures and
+//! crashes of endpoints and entries.
 //!
-//! A request runs in a task of its own, apart from the caller's connection.
-//! [`run`] streams from one endpoint after the other until the answer is
-//! whole. Each attempt resumes behind the last piece that the record has. An
-//! endpoint that leaves lets its streams move: the new one is told where the
-//! old one's KV cache can be fetched.
+//! Each request runs in its own task, independent of the caller's connection.
+//! [`run`] streams from one endpoint after another until the answer is
+//! complete. Each attempt resumes after the last piece in the record. Streams
+//! of a leaving endpoint move to another endpoint, which is given the address
+//! where it can fetch the old endpoint's KV cache.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -24,7 +24,7 @@
     dispatch::{Call, Failed},
     peers, plain,
     refusal::Refusal,
-    requests::{New, Outcome, Owner, Record},
+    requests::{NewRecord, Outcome, Owner, Record},
     state::Shared,
     suspects,
 };
@@ -42,24 +42,27 @@
     wire::Endpoint,
 };
 
-/// Names the piece behind which an endpoint shall resume.
+/// Request field with the number and text of the pieces after which the
+/// endpoint resumes.
 const RESUME_FIELD: &str = "azuremount_resume";
-/// Names the prompt's blocks, for cache events.
+/// Request field with the hashes of the prompt's blocks, for cache events.
 const BLOCKS_FIELD: &str = "azuremount_blocks";
-/// Names the request, so that its KV cache can be asked for.
+/// Header with the request's id, under which its KV cache can be fetched.
 const REQUEST_HEADER: &str = "azuremount-request";
-/// Where a new endpoint can fetch the KV cache.
+/// Header with the address and request id from which an endpoint can fetch
+/// the KV cache.
 const KV_HEADER: &str = "azuremount-kv-from";
-/// Pause when there is no endpoint to try.
-const NO_ENDPOINT_PAUSE: Duration = Duration::from_millis(100);
-/// How long accepting may take, for the copy at the buddy.
-const ACCEPT_LIMIT: Duration = Duration::from_secs(2);
+/// Delay before looking for an endpoint again when none is available.
+const NO_ENDPOINT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// Time to wait for the backup entry to learn that the request was accepted.
+const ACCEPT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Accepts a request: from here on it will be answered.
+/// Accepts a request and starts to run it. An accepted request will be
+/// answered.
 ///
 /// # Errors
 ///
-/// A refusal; the request was not run.
+/// Returns a refusal if the request was not accepted; it was not run.
 pub async fn accept(
     state: &Shared,
     caller: &Caller,
@@ -72,9 +75,9 @@
         None => format!("{}-{:016x}", state.info.id, random_id()),
     };
     if let Some(known) = state.requests.get(&id) {
-        return same_request(known, &body);
+        return check_same_body(known, &body);
     }
-    state.keep_away(
+    state.check_quarantine(
         fingerprint_of(&caller.team, &service.name, &body),
         &service.name,
     )?;
@@ -92,7 +95,7 @@
         Labels { team: caller.team.clone(), service: service.name.clone() };
     let waited = state.now().saturating_sub(arrived) as f64 / 1000.0;
     state.metrics.queue_wait.get_or_create(&labels).observe(waited);
-    let new = New {
+    let new = NewRecord {
         id: &id,
         team: &caller.team,
         service: &service.name,
@@ -103,31 +106,32 @@
     };
     let record = match state.requests.insert(new) {
         Ok(record) => record,
-        Err(known) => return same_request(known, &body),
+        Err(known) => return check_same_body(known, &body),
     };
-    let buddy = match peers::hold(state, &record).await {
-        Ok(buddy) => buddy,
-        Err(peers::Silent) => {
+    let backup = match peers::place_copy(state, &record).await {
+        Ok(backup) => backup,
+        Err(peers::Unavailable) => {
             state.requests.remove(&id);
             let text = "no other entry could take a copy";
             return Err(Refusal::later(text, 500));
         }
     };
-    // It runs from here on. The answer's head goes out once the buddy knows
-    // that the request was accepted: see the head of `peers`.
+    // The request runs from here on. The response head is sent once the
+    // backup entry knows that the request was accepted (see the module
+    // documentation of `peers`).
     let task = run_with(state.clone(), record.clone(), Some(permit));
     state.runtime.spawn(task);
     let mut changes = record.watch();
-    let keep = peers::keep(state.clone(), record.clone(), buddy);
-    state.runtime.spawn(keep);
-    let known = async {
+    let replication = peers::replicate(state.clone(), record.clone(), backup);
+    state.runtime.spawn(replication);
+    let accepted = async {
         while !record.is_accepted() {
             if changes.changed().await.is_err() {
                 return;
             }
         }
     };
-    let _ = timeout(ACCEPT_LIMIT, known).await;
+    let _ = timeout(ACCEPT_TIMEOUT, accepted).await;
     Ok(record)
 }
 
@@ -135,7 +139,7 @@
     fingerprint::of(&[team.as_bytes(), service.as_bytes(), body])
 }
 
-fn same_request(
+fn check_same_body(
     known: Arc<Record>,
     body: &[u8],
 ) -> Result<Arc<Record>, Refusal> {
@@ -148,7 +152,7 @@
     ))
 }
 
-/// Runs a request that was taken over from another entry.
+/// Runs a request that this entry took over from another entry.
 pub async fn run(state: Shared, record: Arc<Record>) {
     run_with(state, record, None).await;
 }
@@ -158,35 +162,35 @@
     record: Arc<Record>,
     _permit: Option<Permit>,
 ) {
-    let began = state.now();
+    let started_at = state.now();
     let outcome = match Chat::parse(&record.body) {
-        Ok(chat) => Run::open(&state, &record, &chat).finish().await,
+        Ok(chat) => Run::open(&state, &record, &chat).run_to_end().await,
         Err(text) => Outcome::Failed(text),
     };
     if record.owner() != Owner::Here {
         return;
     }
     if let Outcome::Failed(text) = &outcome {
-        warn!(target: "model", "Gives up on {}: {text}.", record.id);
+        warn!(target: "model", "Request {} failed: {text}.", record.id);
     }
     record.finish(state.now(), outcome);
     let labels =
         Labels { team: record.team.clone(), service: record.service.clone() };
-    let seconds = state.now().saturating_sub(began) as f64 / 1000.0;
+    let seconds = state.now().saturating_sub(started_at) as f64 / 1000.0;
     state.metrics.latency.get_or_create(&labels).observe(seconds);
 }
 
-/// How one attempt at an endpoint ended.
+/// Result of one attempt at an endpoint.
 enum Attempt {
-    /// The answer is whole.
-    Whole,
-    /// The endpoint leaves; its KV cache may be fetched from there.
+    /// The answer is complete.
+    Completed,
+    /// The endpoint is leaving; its KV cache can still be fetched from it.
     Moving,
-    /// The entry handed the request over.
-    Stopped,
-    /// The endpoint said that the request itself is wrong.
-    Wrong(String),
-    /// It failed, or went silent.
+    /// This entry no longer owns the request.
+    NotOwner,
+    /// The endpoint answered that the request itself is invalid.
+    InvalidRequest(String),
+    /// The attempt failed or timed out.
     Failed(Failed),
 }
 
@@ -197,10 +201,10 @@
     chat: &'a Chat,
     blocks: Vec<u64>,
     labels: Labels,
-    avoid: Vec<(String, u64)>,
-    kv_from: Option<String>,
-    fresh: bool,
-    began: u64,
+    excluded: Vec<(String, u64)>,
+    kv_source: Option<String>,
+    new_connection: bool,
+    started_at: u64,
 }
 
 impl<'a> Run<'a> {
@@ -223,14 +227,14 @@
                 team: record.team.clone(),
                 service: record.service.clone(),
             },
-            avoid: Vec::new(),
-            kv_from: None,
-            fresh: false,
-            began: state.now(),
+            excluded: Vec::new(),
+            kv_source: None,
+            new_connection: false,
+            started_at: state.now(),
         }
     }
 
-    async fn finish(mut self) -> Outcome {
+    async fn run_to_end(mut self) -> Outcome {
         let mut attempt = 0;
         loop {
             if self.record.owner() != Owner::Here {
@@ -240,12 +244,13 @@
                 return Outcome::Failed("its deadline has passed".to_owned());
             }
             let Some((endpoint, choice)) = self.pick() else {
-                // Those that failed once are better than none.
-                self.avoid.clear();
-                sleep(NO_ENDPOINT_PAUSE).await;
+                // No other endpoint is available, so endpoints that failed
+                // earlier are tried again.
+                self.excluded.clear();
+                sleep(NO_ENDPOINT_RETRY_INTERVAL).await;
                 continue;
             };
-            self.record.note(format!(
+            self.record.log_decision(format!(
                 "sent to {} at piece {}: predicted {:.0} ms, {} of {} \
                  prompt tokens cached, {} endpoints avoided",
                 endpoint.id,
@@ -253,38 +258,39 @@
                 choice.predicted_ms,
                 choice.cached_tokens,
                 self.chat.prompt_tokens(),
-                self.avoid.len(),
+                self.excluded.len(),
             ));
             match self.attempt(&endpoint, &choice).await {
-                Attempt::Whole => {
-                    self.state.note_success(self.fingerprint);
+                Attempt::Completed => {
+                    self.state.record_success(self.fingerprint);
                     self.state.retries().record_success();
                     return Outcome::Finished;
                 }
-                Attempt::Stopped => return Outcome::Running,
-                Attempt::Wrong(text) => return Outcome::Failed(text),
+                Attempt::NotOwner => return Outcome::Running,
+                Attempt::InvalidRequest(text) => return Outcome::Failed(text),
                 Attempt::Moving => {
                     info!(
                         target: "model",
-                        "{} moves from {} at piece {}.",
+                        "Request {} moves away from endpoint {} at piece {}.",
                         self.record.id, endpoint.id, self.record.len()
                     );
                     self.state.metrics.moved.inc();
-                    self.record.note(format!("{} leaves", endpoint.id));
+                    self.record
+                        .log_decision(format!("{} leaves", endpoint.id));
                     let id = &self.record.id;
                     let address = &endpoint.address;
-                    self.kv_from = Some(format!("{address} {id}"));
+                    self.kv_source = Some(format!("{address} {id}"));
                 }
                 Attempt::Failed(failed) => {
                     info!(
                         target: "model",
-                        "{} failed {} ({}): {}.",
+                        "Endpoint {} failed request {} ({}): {}.",
                         endpoint.id,
                         self.record.id,
                         failed.verdict.as_str(),
                         failed.text
                     );
-                    self.record.note(format!(
+                    self.record.log_decision(format!(
                         "{} failed ({}): {}",
                         endpoint.id,
                         failed.verdict.as_str(),
@@ -292,33 +298,40 @@
                     ));
                     let state = self.state;
                     state
-                        .note_failure(self.fingerprint, &endpoint, &failed)
+                        .investigate_failure(
+                            self.fingerprint,
+                            &endpoint,
+                            &failed,
+                        )
                         .await;
                     let service = &self.record.service;
-                    let kept = state.kept_away(self.fingerprint, service);
-                    if let Some(reason) = kept {
-                        return Outcome::Failed(suspects::told(reason));
+                    let quarantined =
+                        state.quarantine_reason(self.fingerprint, service);
+                    if let Some(reason) = quarantined {
+                        return Outcome::Failed(suspects::quarantine_text(
+                            reason,
+                        ));
                     }
-                    self.avoid.push((endpoint.id, endpoint.incarnation));
-                    self.fresh = true;
+                    self.excluded.push((endpoint.id, endpoint.incarnation));
+                    self.new_connection = true;
                     attempt += 1;
                     let wait = self.state.retries().wait_ms(attempt);
                     sleep(Duration::from_millis(wait)).await;
                 }
             }
-            self.record.drop_early();
+            self.record.drop_out_of_order();
         }
     }
 
     fn pick(&self) -> Option<(Endpoint, Choice)> {
-        let ask = RouteRequest {
+        let request = RouteRequest {
             tokens: self.chat.prompt_tokens(),
             block_ends: &[],
             blocks: &self.blocks,
-            excluded: &self.avoid,
+            excluded: &self.excluded,
         };
         let now = self.state.now();
-        self.state.fleet().pick(now, &self.record.service, &ask)
+        self.state.fleet().pick(now, &self.record.service, &request)
     }
 
     async fn attempt(
@@ -331,13 +344,13 @@
         let result = self.stream(endpoint, choice).await;
         let now = self.state.now();
         let started = self.record.len() > resumed_at;
-        let held = match result {
+        let duration_ms = match result {
             Attempt::Failed(_) => None,
             _ => Some(now.saturating_sub(sent_at) as f32),
         };
         let mut fleet = self.state.fleet();
         if let Some(pool) = fleet.pool(&self.record.service) {
-            pool.record_end(now, choice.ticket, started, held);
+            pool.record_end(now, choice.ticket, started, duration_ms);
         }
         result
     }
@@ -353,27 +366,33 @@
             return Attempt::Failed(Failed { verdict, text });
         };
         let call = self.call(address);
-        let silence = self.silence();
-        let opened =
-            self.state.dispatcher.open_answer(call, silence, self.fresh);
+        let silence = self.silence_timeout();
+        let opened = self.state.dispatcher.open_answer(
+            call,
+            silence,
+            self.new_connection,
+        );
         let response = match opened.await {
             Ok(response) => response,
             Err(failed) => return Attempt::Failed(failed),
         };
-        // The old endpoint has handed its cache out by now, or never will.
-        self.kv_from = None;
+        // The old endpoint has sent its KV cache by now, or will not send it
+        // at all.
+        self.kv_source = None;
         let status = response.status();
         if status.is_client_error() && status != StatusCode::TOO_MANY_REQUESTS
         {
-            return Attempt::Wrong(format!("the engine said {status}"));
+            return Attempt::InvalidRequest(format!(
+                "the engine said {status}"
+            ));
         }
         if !status.is_success() {
             let text = format!("the engine said {status}");
             let verdict = Verdict::MayHaveRun;
             return Attempt::Failed(Failed { verdict, text });
         }
-        if let Some(load) = plain::load_of(response.headers()) {
-            self.report_load(choice, load);
+        if let Some(load) = plain::parse_load(response.headers()) {
+            self.record_load(choice, load);
         }
         let body = BodyDataStream::new(response.into_body());
         let mut events = body.eventsource();
@@ -382,9 +401,9 @@
         let resumed_at = self.record.len();
         let mut last_at = self.state.now();
         let mut first_at = None;
-        let mut leaving = self.leaving(endpoint);
+        let mut remaining = self.remaining_ms(endpoint);
         loop {
-            if let Some(left_ms) = leaving.take() {
+            if let Some(remaining_ms) = remaining.take() {
                 let stream = Stream {
                     pieces: (self.record.len() - resumed_at) as u64,
                     max_pieces: self
@@ -394,54 +413,54 @@
                     streaming_ms: first_at
                         .map_or(0, |at| last_at.saturating_sub(at)),
                 };
-                if moving::should_move(stream, left_ms) {
+                if moving::should_move(stream, remaining_ms) {
                     return Attempt::Moving;
                 }
             }
             let event = tokio::select! {
                 event = timeout(silence, events.next()) => event,
                 () = departed.changed() => {
-                    leaving = self.leaving(endpoint);
+                    remaining = self.remaining_ms(endpoint);
                     continue;
                 }
                 _ = changes.changed() => {
                     if self.record.owner() != Owner::Here {
-                        return Attempt::Stopped;
+                        return Attempt::NotOwner;
                     }
                     continue;
                 }
             };
             let event = match event {
                 Ok(Some(Ok(event))) => event,
-                Ok(Some(Err(error))) => return broke_off(error),
-                Ok(None) => return broke_off("the stream ended early"),
-                Err(_) => return broke_off("the stream went silent"),
+                Ok(Some(Err(error))) => return interrupted(error),
+                Ok(None) => return interrupted("the stream ended early"),
+                Err(_) => return interrupted("the stream went silent"),
             };
             if event.data == "[DONE]" {
-                return self.check_whole(&event.id);
+                return self.check_complete(&event.id);
             }
             let now = self.state.now();
-            if self.take_piece(&event.id, &event.data, choice) {
-                self.observe(now, last_at, first_at.is_none(), choice);
+            if self.insert_piece(&event.id, &event.data, choice) {
+                self.observe_piece(now, last_at, first_at.is_none(), choice);
                 last_at = now;
                 first_at.get_or_insert(now);
             }
         }
     }
 
-    /// Checks that a stream that says it is done left nothing out.
-    fn check_whole(&self, id: &str) -> Attempt {
-        let have = self.record.len();
-        let total: usize = id.parse().unwrap_or(have);
-        if have == total && !self.record.has_gap() {
-            Attempt::Whole
+    /// Checks that no piece is missing at the end of a stream.
+    fn check_complete(&self, id: &str) -> Attempt {
+        let piece_count = self.record.len();
+        let total: usize = id.parse().unwrap_or(piece_count);
+        if piece_count == total && !self.record.has_gap() {
+            Attempt::Completed
         } else {
-            broke_off(format!("{have} of {total} pieces came"))
+            interrupted(format!("{piece_count} of {total} pieces came"))
         }
     }
 
-    /// Puts a piece into the record; true if it was new.
-    fn take_piece(&self, id: &str, data: &str, choice: &Choice) -> bool {
+    /// Inserts a piece into the record. Returns whether the record grew.
+    fn insert_piece(&self, id: &str, data: &str, choice: &Choice) -> bool {
         let Ok(value) = serde_json::from_str::<Value>(data) else {
             return false;
         };
@@ -449,7 +468,7 @@
             let number = |name: &str| {
                 usage.get(name).and_then(Value::as_u64).unwrap_or(0)
             };
-            self.count_recomputed(
+            self.observe_recomputed(
                 number("prompt_tokens"),
                 number("cached_tokens"),
                 choice,
@@ -459,16 +478,17 @@
         let Some(text) = text else { return false };
         let offset = match id.parse() {
             Ok(offset) => offset,
-            // An engine that numbers nothing sends in order.
+            // An engine that does not number its pieces sends them in order.
             Err(_) => self.record.len() as u64,
         };
-        self.record.put(offset, text) > 0
+        self.record.insert_piece(offset, text) > 0
     }
 
-    fn count_recomputed(&self, prompt: u64, cached: u64, choice: &Choice) {
+    fn observe_recomputed(&self, prompt: u64, cached: u64, choice: &Choice) {
         let expected = match self.record.is_empty() {
             true => u64::from(choice.cached_tokens),
-            // All of a resumed stream had been computed elsewhere.
+            // The whole prompt of a resumed stream was already computed at
+            // another endpoint.
             false => prompt,
         };
         let recomputed = expected.saturating_sub(cached);
@@ -476,10 +496,16 @@
         histogram.get_or_create(&self.labels).observe(recomputed as f64);
     }
 
-    fn observe(&self, now: u64, last_at: u64, first: bool, choice: &Choice) {
+    fn observe_piece(
+        &self,
+        now: u64,
+        last_at: u64,
+        first: bool,
+        choice: &Choice,
+    ) {
         let metrics = &self.state.metrics;
         if first && self.record.len() == 1 {
-            let waited = now.saturating_sub(self.began) as f64 / 1000.0;
+            let waited = now.saturating_sub(self.started_at) as f64 / 1000.0;
             let histogram = metrics.first_token.get_or_create(&self.labels);
             histogram.observe(waited);
         } else {
@@ -493,7 +519,7 @@
         }
     }
 
-    fn report_load(&self, choice: &Choice, load: u32) {
+    fn record_load(&self, choice: &Choice, load: u32) {
         let now = self.state.now();
         let mut fleet = self.state.fleet();
         if let Some(pool) = fleet.pool(&self.record.service) {
@@ -501,8 +527,9 @@
         }
     }
 
-    /// How long the endpoint goes on, if it has said that it leaves.
-    fn leaving(&self, endpoint: &Endpoint) -> Option<u64> {
+    /// Returns for how long the endpoint still serves, in ms, if it has
+    /// announced that it leaves.
+    fn remaining_ms(&self, endpoint: &Endpoint) -> Option<u64> {
         let departed = self.state.board.departed.read();
         let found = departed.iter().find(|record| {
             record.leaving
@@ -514,7 +541,7 @@
         found.map(|record| record.within_ms)
     }
 
-    fn silence(&self) -> Duration {
+    fn silence_timeout(&self) -> Duration {
         let config = self.state.board.config.read();
         let configured = config
             .as_ref()
@@ -533,10 +560,10 @@
             .map(|block| format!("{block:016x}"))
             .collect::<Vec<_>>()
             .into();
-        let have = self.record.len();
-        if have > 0 {
+        let piece_count = self.record.len();
+        if piece_count > 0 {
             body[RESUME_FIELD] =
-                json!({ "pieces": have, "text": self.record.text() });
+                json!({ "pieces": piece_count, "text": self.record.text() });
         }
         let mut headers = HeaderMap::new();
         headers.insert(
@@ -546,7 +573,7 @@
         if let Ok(id) = HeaderValue::from_str(&self.record.id) {
             headers.insert(REQUEST_HEADER, id);
         }
-        if let Some(from) = &self.kv_from
+        if let Some(from) = &self.kv_source
             && let Ok(from) = HeaderValue::from_str(from)
         {
             headers.insert(KV_HEADER, from);
@@ -561,7 +588,7 @@
     }
 }
 
-fn broke_off(text: impl ToString) -> Attempt {
+fn interrupted(text: impl ToString) -> Attempt {
     let verdict = Verdict::MayHaveRun;
     Attempt::Failed(Failed { verdict, text: text.to_string() })
 }
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -1,19 +1,20 @@
-//! Copies of accepted model requests at a second entry, the buddy.
+//! Replication of accepted model requests to a second entry, the backup entry.
 //!
-//! Before a model request counts as accepted, another entry holds a copy of
-//! it, in another data centre if there is one. The answer follows piece by
-//! piece. When the owner stops it hands the request over; when it dies, the
-//! buddy takes it over once control no longer lists the owner.
+//! Before a model request is accepted, another entry stores a copy of it, in
+//! another data centre if possible. The owner then replicates the answer piece
+//! by piece. When the owner drains, it hands the request over. When the owner
+//! crashes, the backup entry takes the request over once control no longer
+//! lists the owner.
 //!
-//! # Not run means not run
+//! # Refused requests are not run
 //!
-//! A copy whose acknowledgement was lost may lie at an entry that the owner
-//! does not count on, for a request that it then refused. So a copy alone is
-//! never taken over: only after the owner's first report, which says that it
-//! accepted.
+//! If the acknowledgement of a copy is lost, the owner may refuse the request
+//! while another entry still holds the copy. Therefore an entry takes over a
+//! copy only after it has received the owner's first progress report, which
+//! shows that the owner accepted the request.
 //!
-//! Reports of all requests that go to one peer share their calls: while one
-//! is under way the next ones gather.
+//! Progress reports of all requests with the same peer are sent in batches:
+//! while one call is in flight, further reports queue for the next one.
 
 use std::{
     net::SocketAddr,
@@ -34,7 +35,7 @@
 
 use super::{
     model,
-    requests::{New, Outcome, Owner, Record},
+    requests::{NewRecord, Outcome, Owner, Record},
     state::{Shared, State},
 };
 use crate::{
@@ -48,14 +49,15 @@
     },
 };
 
-/// How long a peer may take for one call.
-const CALL_LIMIT: Duration = Duration::from_millis(400);
-/// Pause between two batches to one peer, for pieces to gather.
-const PACE: Duration = Duration::from_millis(5);
-/// How long a fetch waits for something new.
-const FETCH_WAIT: Duration = Duration::from_millis(200);
-/// Pause before looking for a buddy again when none answered.
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
+/// Timeout of a call to a peer.
+const CALL_TIMEOUT: Duration = Duration::from_millis(400);
+/// Minimum time between two batches to one peer, in which further pieces
+/// accumulate.
+const BATCH_INTERVAL: Duration = Duration::from_millis(5);
+/// Maximum time for which a fetch waits for new pieces.
+const MAX_FETCH_WAIT: Duration = Duration::from_millis(200);
+/// Delay before looking for a backup entry again when none was found.
+const BACKUP_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 type Report = (Progress, oneshot::Sender<ProgressAck>);
 
@@ -66,15 +68,15 @@
     reports: mpsc::Sender<Report>,
 }
 
-/// Links to the other entries, each made when first used.
+/// Links to the other entries, each opened on first use.
 #[derive(Debug, Default)]
 pub struct Peers {
     links: Mutex<Vec<Arc<Link>>>,
 }
 
-/// Another entry did not do what was asked of it in time.
+/// Error: no other entry completed the call in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Silent;
+pub struct Unavailable;
 
 impl Peers {
     fn link(&self, owner: &EntryInfo, to: &str) -> Option<Arc<Link>> {
@@ -86,13 +88,13 @@
                 let address: SocketAddr = to.parse().ok()?;
                 let client = open_client(address);
                 let (reports, queue) = mpsc::channel(4096);
-                let pump = Pump {
+                let sender = ReportSender {
                     owner: owner.id.clone(),
                     incarnation: owner.incarnation,
                     address,
                     client: client.clone(),
                 };
-                tokio::spawn(pump.run(queue));
+                tokio::spawn(sender.run(queue));
                 let link =
                     Arc::new(Link { address: to.to_owned(), client, reports });
                 links.insert(at, link.clone());
@@ -101,8 +103,8 @@
         }
     }
 
-    /// Drops a link, so that the next use makes a new connection.
-    fn forget(&self, to: &str) {
+    /// Drops the link to a peer, so that the next use opens a new connection.
+    fn drop_link(&self, to: &str) {
         let mut links =
             self.links.lock().unwrap_or_else(|held| held.into_inner());
         links.retain(|link| link.address != to);
@@ -115,15 +117,15 @@
         .max_encoding_message_size(MESSAGE_LIMIT)
 }
 
-/// Sends the reports of all requests that one peer holds.
-struct Pump {
+/// Sends progress reports of all requests that one peer holds copies of.
+struct ReportSender {
     owner: String,
     incarnation: u64,
     address: SocketAddr,
     client: PeersClient<Channel>,
 }
 
-impl Pump {
+impl ReportSender {
     async fn run(mut self, mut queue: mpsc::Receiver<Report>) {
         let mut waiting: Vec<Report> = Vec::new();
         while queue.recv_many(&mut waiting, 1024).await > 0 {
@@ -133,7 +135,7 @@
                 owner_incarnation: self.incarnation,
                 items,
             };
-            let reply = timeout(CALL_LIMIT, self.client.report(batch)).await;
+            let reply = timeout(CALL_TIMEOUT, self.client.report(batch)).await;
             match reply {
                 Ok(Ok(reply)) => {
                     let acks = reply.into_inner().acks;
@@ -141,40 +143,41 @@
                         let _ = answer.send(ack);
                     }
                 }
-                // Dropping the answers tells their requests to look for
-                // another buddy. The connection may be silent for good.
+                // Dropping the reply channels makes the requests look for
+                // another backup entry. The connection is replaced because it
+                // may never answer again.
                 _ => self.client = open_client(self.address),
             }
-            sleep(PACE).await;
+            sleep(BATCH_INTERVAL).await;
         }
     }
 }
 
-/// Puts a first copy of a new request somewhere.
+/// Places a copy of a request at a backup entry.
 ///
-/// Returns the buddy's address, or `None` when this entry is the only one
-/// that serves.
+/// Returns the backup entry's address, or `None` if no other entry is serving.
 ///
 /// # Errors
 ///
-/// When other entries are listed and none of them answered.
-pub async fn hold(
+/// Fails if other entries are serving, but none of the first three candidates
+/// stored the copy.
+pub async fn place_copy(
     state: &State,
     record: &Record,
-) -> Result<Option<String>, Silent> {
+) -> Result<Option<String>, Unavailable> {
     let candidates = candidates(state, &record.id);
     if candidates.is_empty() {
         return Ok(None);
     }
     for address in candidates.iter().take(3) {
-        if hold_at(state, record, address).await {
+        if place_copy_at(state, record, address).await {
             return Ok(Some(address.clone()));
         }
     }
-    Err(Silent)
+    Err(Unavailable)
 }
 
-async fn hold_at(state: &State, record: &Record, address: &str) -> bool {
+async fn place_copy_at(state: &State, record: &Record, address: &str) -> bool {
     let Some(link) = state.peers.link(&state.info, address) else {
         return false;
     };
@@ -189,17 +192,18 @@
         pieces: record.tail(0).pieces,
     };
     let mut client = link.client.clone();
-    match timeout(CALL_LIMIT, client.hold(request)).await {
+    match timeout(CALL_TIMEOUT, client.hold(request)).await {
         Ok(Ok(reply)) => reply.into_inner().held,
         _ => {
-            state.peers.forget(address);
+            state.peers.drop_link(address);
             false
         }
     }
 }
 
-/// Peers that can hold a request, best first: other data centres before this
-/// one, in an order that differs from request to request.
+/// Returns the addresses of peers that can hold a copy, in order of
+/// preference: other data centres before this one, otherwise in an order that
+/// depends on the request id.
 fn candidates(state: &State, id: &str) -> Vec<String> {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let entries = state.board.entries.read();
@@ -217,11 +221,12 @@
     ranked.into_iter().map(|(_, _, address)| address.to_owned()).collect()
 }
 
-/// Keeps a request's buddy up to date until the request has ended.
-pub async fn keep(
+/// Replicates a request's progress to its backup entry until the request has
+/// ended.
+pub async fn replicate(
     state: Shared,
     record: Arc<Record>,
-    mut buddy: Option<String>,
+    mut backup: Option<String>,
 ) {
     let mut changes = record.watch();
     let mut sent = 0;
@@ -230,16 +235,18 @@
         if record.owner() != Owner::Here {
             return;
         }
-        let Some(address) = &buddy else {
-            buddy = find_buddy(&state, &record).await;
-            if buddy.is_none() && candidates(&state, &record.id).is_empty() {
-                // Nobody else serves; the answer is as safe as it gets.
+        let Some(address) = &backup else {
+            backup = find_backup(&state, &record).await;
+            if backup.is_none() && candidates(&state, &record.id).is_empty() {
+                // No other entry is serving, so the answer can't be
+                // replicated: it becomes visible without a copy.
                 let ended = record.outcome() != Outcome::Running;
-                record.make_safe(usize::MAX, ended);
+                record.make_visible(usize::MAX, ended);
                 if ended {
                     return;
                 }
-                let _ = timeout(LOOK_AGAIN, changes.changed()).await;
+                let _ =
+                    timeout(BACKUP_RETRY_INTERVAL, changes.changed()).await;
             }
             sent = 0;
             first = true;
@@ -251,40 +258,45 @@
             let _ = changes.changed().await;
             continue;
         }
-        let item = progress(&record.id, sent, &tail, false);
-        match report(&state, address, item).await {
+        let item = build_progress(&record.id, sent, &tail, false);
+        match send_report(&state, address, item).await {
             Ok(ack) if ack.held => {
                 first = false;
                 sent = ack.pieces as usize;
-                let all = sent >= record.len();
-                record.make_safe(sent, ended && all);
-                if ended && all {
+                let replicated = sent >= record.len();
+                record.make_visible(sent, ended && replicated);
+                if ended && replicated {
                     return;
                 }
             }
             Ok(_) => {
-                // It took the request over, or lost it: it must not get a
-                // second writer. Only an owner that is no longer listed is
-                // taken over, so this entry has been given up by control.
-                info!(target: "peers", "{address} has dropped {}.", record.id);
-                buddy = None;
+                // The backup entry has taken the request over or lost it; the
+                // copy must not get a second writer. Only requests of an
+                // owner that is no longer listed are taken over, so after a
+                // takeover control no longer lists this entry.
+                info!(
+                    target: "peers",
+                    "Backup entry {address} no longer holds a copy of {}.",
+                    record.id
+                );
+                backup = None;
             }
-            Err(Silent) => buddy = None,
+            Err(Unavailable) => backup = None,
         }
     }
 }
 
-async fn find_buddy(state: &Shared, record: &Record) -> Option<String> {
-    match hold(state, record).await {
-        Ok(buddy) => buddy,
-        Err(Silent) => {
-            sleep(LOOK_AGAIN).await;
+async fn find_backup(state: &Shared, record: &Record) -> Option<String> {
+    match place_copy(state, record).await {
+        Ok(backup) => backup,
+        Err(Unavailable) => {
+            sleep(BACKUP_RETRY_INTERVAL).await;
             None
         }
     }
 }
 
-fn progress(
+fn build_progress(
     id: &str,
     offset: usize,
     tail: &super::requests::View,
@@ -303,34 +315,34 @@
     }
 }
 
-async fn report(
+async fn send_report(
     state: &State,
     address: &str,
     item: Progress,
-) -> Result<ProgressAck, Silent> {
-    let link = state.peers.link(&state.info, address).ok_or(Silent)?;
+) -> Result<ProgressAck, Unavailable> {
+    let link = state.peers.link(&state.info, address).ok_or(Unavailable)?;
     let (answer, answered) = oneshot::channel();
-    link.reports.send((item, answer)).await.map_err(|_| Silent)?;
-    match timeout(2 * CALL_LIMIT, answered).await {
+    link.reports.send((item, answer)).await.map_err(|_| Unavailable)?;
+    match timeout(2 * CALL_TIMEOUT, answered).await {
         Ok(Ok(ack)) => Ok(ack),
         _ => {
-            state.peers.forget(address);
-            Err(Silent)
+            state.peers.drop_link(address);
+            Err(Unavailable)
         }
     }
 }
 
-/// Hands a request over to another entry, which carries on with it.
+/// Hands a request over to another entry, which continues it.
 ///
 /// Returns the new owner's address for callers.
 pub async fn hand_over(state: &Shared, record: &Record) -> Option<String> {
     for address in candidates(state, &record.id) {
-        if !hold_at(state, record, &address).await {
+        if !place_copy_at(state, record, &address).await {
             continue;
         }
         let tail = record.tail(0);
-        let item = progress(&record.id, 0, &tail, true);
-        let ack = report(state, &address, item).await;
+        let item = build_progress(&record.id, 0, &tail, true);
+        let ack = send_report(state, &address, item).await;
         if ack.is_ok_and(|ack| ack.held) {
             let entries = state.board.entries.read();
             return entries
@@ -342,11 +354,12 @@
     None
 }
 
-/// Takes over the requests of entries that control no longer lists.
+/// Takes over running requests of entries that control no longer lists.
 pub async fn adopt_orphans(state: Shared) {
     let mut entries = state.board.entries.watch();
     loop {
-        // New copies can come in for an owner that is already gone.
+        // Copies can also arrive from an owner that is no longer listed, so
+        // the check is repeated without a change of the list.
         let _ = timeout(Duration::from_millis(500), entries.changed()).await;
         if !state.holds_lease() {
             continue;
@@ -357,8 +370,12 @@
                 && is_orphan(&record.owner(), &listed)
         });
         for record in orphans {
-            warn!(target: "peers", "Takes over {}.", record.id);
-            adopt(&state, record);
+            warn!(
+                target: "peers",
+                "Taking over request {} from an entry that is not listed.",
+                record.id
+            );
+            take_over(&state, record);
         }
         state.requests.prune(state.now());
     }
@@ -375,15 +392,15 @@
     }
 }
 
-fn adopt(state: &Shared, record: Arc<Record>) {
+fn take_over(state: &Shared, record: Arc<Record>) {
     state.metrics.adopted.inc();
-    record.note(format!("taken over by {}", state.info.id));
+    record.log_decision(format!("taken over by {}", state.info.id));
     record.set_owner(Owner::Here);
-    state.runtime.spawn(keep(state.clone(), record.clone(), None));
+    state.runtime.spawn(replicate(state.clone(), record.clone(), None));
     state.runtime.spawn(model::run(state.clone(), record));
 }
 
-/// Looks for a request at the other entries.
+/// Fetches a request from the other entries.
 pub async fn fetch(
     state: &State,
     id: &str,
@@ -396,23 +413,23 @@
         let mut client = link.client.clone();
         let request =
             FetchRequest { id: id.to_owned(), offset: offset as u64 };
-        match timeout(CALL_LIMIT, client.fetch(request)).await {
+        match timeout(CALL_TIMEOUT, client.fetch(request)).await {
             Ok(Ok(reply)) => Some(reply.into_inner()),
             _ => {
-                state.peers.forget(&entry.peer_address);
+                state.peers.drop_link(&entry.peer_address);
                 None
             }
         }
     });
     let replies = futures_util::future::join_all(calls).await;
     let known = replies.into_iter().flatten().filter(|reply| reply.known);
-    // A copy may lag behind the owner: the one that has most is the best.
+    // A copy may lag behind the owner, so the most complete reply is used.
     known.max_by_key(|reply| (reply.finished, reply.pieces.len()))
 }
 
-// ---- The other side ---------------------------------------------------------
+// ---- Server ----------------------------------------------------------------
 
-/// Serves the other entries until `stop` ends.
+/// Serves calls of the other entries until `stop` completes.
 pub async fn serve(
     state: Shared,
     listener: TcpListener,
@@ -437,7 +454,7 @@
 }
 
 impl Service {
-    fn take_progress(
+    fn apply_progress(
         &self,
         batch: &ProgressBatch,
         item: &Progress,
@@ -445,12 +462,12 @@
         let Some(record) = self.state.requests.get(&item.id) else {
             return ProgressAck::default();
         };
-        let ours = matches!(
+        let from_owner = matches!(
             record.owner(),
             Owner::Elsewhere { id, incarnation, .. }
                 if id == batch.owner && incarnation == batch.owner_incarnation
         );
-        if !ours {
+        if !from_owner {
             return ProgressAck::default();
         }
         record.set_owner(Owner::Elsewhere {
@@ -459,7 +476,7 @@
             accepted: true,
         });
         for (at, piece) in item.pieces.iter().enumerate() {
-            record.put(item.offset + at as u64, piece);
+            record.insert_piece(item.offset + at as u64, piece);
         }
         let now = self.state.now();
         if item.finished {
@@ -468,10 +485,13 @@
             record.finish(now, Outcome::Failed(item.failure.clone()));
         }
         let ended = record.outcome() != Outcome::Running;
-        record.make_safe(usize::MAX, ended);
+        record.make_visible(usize::MAX, ended);
         if item.handover && !ended {
-            info!(target: "peers", "{} hands over {}.", batch.owner, item.id);
-            adopt(&self.state, record.clone());
+            info!(
+                target: "peers",
+                "Entry {} hands over request {}.", batch.owner, item.id
+            );
+            take_over(&self.state, record.clone());
         }
         ProgressAck { held: true, pieces: record.len() as u64 }
     }
@@ -492,7 +512,7 @@
             incarnation: hold.owner_incarnation,
             accepted: false,
         };
-        let new = New {
+        let new = NewRecord {
             id: &hold.id,
             team: &hold.team,
             service: &hold.service,
@@ -521,7 +541,7 @@
         let acks = batch
             .items
             .iter()
-            .map(|item| self.take_progress(&batch, item))
+            .map(|item| self.apply_progress(&batch, item))
             .collect();
         Ok(Response::new(ProgressReply { acks }))
     }
@@ -538,7 +558,7 @@
         let mut changes = record.watch();
         let mut view = record.view(offset);
         if view.pieces.is_empty() && view.outcome == Outcome::Running {
-            let _ = timeout(FETCH_WAIT, changes.changed()).await;
+            let _ = timeout(MAX_FETCH_WAIT, changes.changed()).await;
             view = record.view(offset);
         }
         let failure = match &view.outcome {
--- a/src/entry/plain.rs
+++ b/src/entry/plain.rs
@@ -1,22 +1,22 @@
-//! Calls to plain services, those that must not run twice among them.
+//! Calls to plain services, including calls that must not run twice.
 //!
-//! A call that must not be repeated goes through these steps, and a process
-//! may die between any two of them:
+//! A call that must not be repeated goes through these steps. A process may
+//! crash between any two of them:
 //!
 //! ```text
 //! admitted → claimed in the ledger → sent, once → answered → settled
 //! ```
 //!
-//! | died after | what the ledger says | what a caller is told |
+//! | crashed after | state in the ledger | answer to the caller |
 //! |---|---|---|
-//! | admitted | nothing | key unknown |
-//! | claimed | held by a dead owner | may have run |
-//! | sent | held by a dead owner | may have run |
+//! | admitted | none | key unknown |
+//! | claimed | held by a crashed owner | may have run |
+//! | sent | held by a crashed owner | may have run |
 //! | settled | the answer | the answer |
 //!
-//! Nobody ever sends a claimed request again but its owner, and the owner
-//! does so only when it knows that the endpoint was not reached or said that
-//! it did not run it.
+//! Only the owner of a claim may send the request again, and only if it knows
+//! that the endpoint was not reached or answered that it did not run the
+//! request.
 
 use std::time::Duration;
 
@@ -46,25 +46,26 @@
     wire::{self, Claim, ClaimOutcome, Endpoint, claim_outcome},
 };
 
-/// How long an answer waits for its settlement before it goes out anyway.
-const SETTLE_WAIT: Duration = Duration::from_millis(500);
-/// Pause between two looks at a claim that another entry holds.
-const HELD_PAUSE: Duration = Duration::from_millis(100);
-/// Attempts at different endpoints for one request.
-const ATTEMPTS: u32 = 4;
+/// Time for which an answer waits for its settlement before it is sent to the
+/// caller anyway.
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval between two reads of a claim that another call holds.
+const CLAIM_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum number of attempts for one request, each at a different endpoint.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// A checked call to a plain service.
+/// A validated call to a plain service.
 #[derive(Clone, Debug)]
-pub struct Work {
-    /// Who asks.
+pub struct ServiceCall {
+    /// The caller.
     pub caller: Caller,
-    /// The service, as configured.
+    /// The service's configuration.
     pub service: Service,
-    /// Path and query behind the service's name.
+    /// Path and query after the service's name.
     pub path: String,
     /// The request's method.
     pub method: http::Method,
-    /// Headers to pass on.
+    /// Headers to forward to the endpoint.
     pub headers: HeaderMap,
     /// The request's body.
     pub body: bytes::Bytes,
@@ -74,7 +75,7 @@
 ///
 /// # Errors
 ///
-/// A refusal with its verdict.
+/// Returns a refusal with its verdict.
 pub async fn serve(
     state: &Shared,
     caller: Caller,
@@ -82,52 +83,54 @@
     path: &str,
     request: Request,
 ) -> Result<Response, Refusal> {
-    let bare = path.split('?').next().unwrap_or(path);
-    let repeatable = service.may_repeat(bare);
-    let work = Work {
+    let path_only = path.split('?').next().unwrap_or(path);
+    let repeatable = service.may_repeat(path_only);
+    let service_call = ServiceCall {
         caller,
         service: service.clone(),
         path: path.to_owned(),
         method: request.method,
-        headers: passed_on(&request.headers),
+        headers: forwarded_headers(&request.headers),
         body: request.body,
     };
-    let began = state.now();
+    let started_at = state.now();
     let labels = Labels {
-        team: work.caller.team.clone(),
+        team: service_call.caller.team.clone(),
         service: service.name.clone(),
     };
     let result = if repeatable {
-        call_repeatable(state, work).await.map(respond)
+        call_repeatable(state, service_call).await.map(build_response)
     } else {
-        if work.caller.key.is_none() {
+        if service_call.caller.key.is_none() {
             return Err(Refusal::bad(
                 StatusCode::BAD_REQUEST,
                 "this call may not be repeated; it needs an Idempotency-Key",
             ));
         }
-        // Apart from the caller's connection: whoever hangs up between claim
-        // and settlement must not leave the request half done.
-        let run = state.runtime.spawn(call_once(state.clone(), work));
+        // The call runs in its own task, so that a caller that disconnects
+        // between claim and settlement does not leave it unfinished.
+        let run = state.runtime.spawn(call_once(state.clone(), service_call));
         match run.await {
             Ok(result) => result,
             Err(_) => Err(Refusal::doubtful("the entry failed")),
         }
     };
-    let seconds = state.now().saturating_sub(began) as f64 / 1000.0;
+    let seconds = state.now().saturating_sub(started_at) as f64 / 1000.0;
     state.metrics.latency.get_or_create(&labels).observe(seconds);
     result
 }
 
-/// The state of a claimed request, for `GET /v1/requests/{key}`.
+/// Returns the answer of a claimed request, for `GET /v1/requests/{key}`.
 ///
 /// # Errors
 ///
-/// When the key is unknown, the request still runs, or control is away.
+/// Fails if the key is unknown, the request is still running, its owner has
+/// crashed, its outcome is unknown, its answer was too large to keep, or
+/// control does not answer.
 pub async fn reread(state: &Shared, key: &str) -> Result<Response, Refusal> {
     let outcome = look_up(state, key).await?;
     match claim_state(&outcome) {
-        claim_outcome::State::Settled => settled(&outcome),
+        claim_outcome::State::Settled => settled_response(&outcome),
         claim_outcome::State::Held if owner_lives(state, &outcome.owner) => {
             Err(Refusal {
                 status: StatusCode::ACCEPTED,
@@ -136,7 +139,7 @@
                 retry_after_ms: Some(200),
             })
         }
-        claim_outcome::State::Held => Err(lost()),
+        claim_outcome::State::Held => Err(owner_crashed()),
         _ => Err(Refusal {
             status: StatusCode::NOT_FOUND,
             verdict: Verdict::MayHaveRun,
@@ -146,77 +149,93 @@
     }
 }
 
-// ---- Calls that may be repeated ---------------------------------------------
+// ---- Calls that may be repeated --------------------------------------------
 
 async fn call_repeatable(
     state: &Shared,
-    work: Work,
+    service_call: ServiceCall,
 ) -> Result<Answer, Refusal> {
-    let fingerprint = fingerprint::of(&parts_of(&work));
-    state.keep_away(fingerprint, &work.service.name)?;
-    let caller = &work.caller;
+    let fingerprint = fingerprint::of(&digest_parts(&service_call));
+    state.check_quarantine(fingerprint, &service_call.service.name)?;
+    let caller = &service_call.caller;
     let start_by = caller.deadline;
-    let permit =
-        admission::admit(state, &work.service, &caller.team, 1.0, start_by);
+    let permit = admission::admit(
+        state,
+        &service_call.service,
+        &caller.team,
+        1.0,
+        start_by,
+    );
     let _permit = permit.await?;
-    let mut avoid = Vec::new();
+    let mut excluded = Vec::new();
     let mut verdict = Verdict::NotRun;
-    for attempt in 0..ATTEMPTS {
-        let picked = pick(state, &work, &avoid);
+    for attempt in 0..MAX_ATTEMPTS {
+        let picked = pick(state, &service_call, &excluded);
         let Some((endpoint, choice)) = picked else { break };
-        let call = call(&work, &endpoint)?;
-        let silence = Duration::from_millis(work.service.silence_ms);
+        let call = call(&service_call, &endpoint)?;
+        let silence = Duration::from_millis(service_call.service.silence_ms);
         let sent_at = state.now();
         let fresh = attempt > 0;
         let result = state.dispatcher.repeatable(call, silence, fresh).await;
-        note_end(state, &work.service.name, &choice, sent_at, &result);
+        record_end(
+            state,
+            &service_call.service.name,
+            &choice,
+            sent_at,
+            &result,
+        );
         match result {
             Ok(answer) => {
                 state.retries().record_success();
                 if answer.status.is_success() {
-                    state.note_success(fingerprint);
+                    state.record_success(fingerprint);
                 }
                 return Ok(answer);
             }
             Err(failed) => {
                 info!(
                     target: "plain",
-                    "{} failed: {}.", endpoint.id, failed.text
+                    "Endpoint {} failed: {}.", endpoint.id, failed.text
                 );
                 verdict = verdict.and(failed.verdict);
-                state.note_failure(fingerprint, &endpoint, &failed).await;
-                avoid.push((endpoint.id, endpoint.incarnation));
-                let service = &work.service.name;
-                if state.kept_away(fingerprint, service).is_some() {
+                state
+                    .investigate_failure(fingerprint, &endpoint, &failed)
+                    .await;
+                excluded.push((endpoint.id, endpoint.incarnation));
+                let service = &service_call.service.name;
+                if state.quarantine_reason(fingerprint, service).is_some() {
                     break;
                 }
             }
         }
         let wait = state.retries().wait_ms(attempt + 1);
-        if state.now() + wait >= work.caller.deadline {
+        if state.now() + wait >= service_call.caller.deadline {
             break;
         }
         sleep(Duration::from_millis(wait)).await;
     }
-    Err(nobody(verdict))
+    Err(no_endpoint(verdict))
 }
 
-fn nobody(verdict: Verdict) -> Refusal {
+fn no_endpoint(verdict: Verdict) -> Refusal {
     let mut refusal = Refusal::later("no endpoint could take it", 500);
     refusal.verdict = verdict;
     refusal
 }
 
-// ---- Calls that may not -----------------------------------------------------
+// ---- Calls that must not be repeated ---------------------------------------
 
-async fn call_once(state: Shared, work: Work) -> Result<Response, Refusal> {
-    let fingerprint = fingerprint::of(&parts_of(&work));
-    state.keep_away(fingerprint, &work.service.name)?;
-    let key = work.caller.key.clone().unwrap_or_default();
-    let caller = &work.caller;
+async fn call_once(
+    state: Shared,
+    service_call: ServiceCall,
+) -> Result<Response, Refusal> {
+    let fingerprint = fingerprint::of(&digest_parts(&service_call));
+    state.check_quarantine(fingerprint, &service_call.service.name)?;
+    let key = service_call.caller.key.clone().unwrap_or_default();
+    let caller = &service_call.caller;
     let permit = admission::admit(
         &state,
-        &work.service,
+        &service_call.service,
         &caller.team,
         1.0,
         caller.deadline,
@@ -230,15 +249,16 @@
     );
     let claim = Claim {
         key: key.clone(),
-        digest: digest(&work),
+        digest: digest(&service_call),
         owner: owner.clone(),
         team: caller.team.clone(),
     };
     let outcome = match propose_claim(&state, claim).await {
         Ok(outcome) => outcome,
         Err(refusal) => {
-            // The claim may still be committed. Nothing was sent, so it is
-            // given back; else the key would stay taken by nobody.
+            // The claim may still be committed. The request was not sent, so
+            // the claim is released; otherwise the key would stay claimed
+            // without a running request.
             let state = state.clone();
             state.runtime.clone().spawn(async move {
                 settle(&state, release(&key, &owner)).await;
@@ -248,37 +268,43 @@
     };
     let granted = match claim_state(&outcome) {
         claim_outcome::State::Granted => true,
-        // An answer to an earlier sending of this very claim was lost.
+        // The reply to an earlier proposal of this same claim was lost.
         claim_outcome::State::Held => outcome.owner == owner,
         _ => false,
     };
     if !granted {
         drop(permit);
-        return follow(&state, &key, outcome, caller.deadline).await;
+        return wait_for_holder(&state, &key, outcome, caller.deadline).await;
     }
-    dispatch_claimed(&state, &work, &key, &owner).await
+    dispatch_claimed(&state, &service_call, &key, &owner).await
 }
 
 async fn dispatch_claimed(
     state: &Shared,
-    work: &Work,
+    service_call: &ServiceCall,
     key: &str,
     owner: &str,
 ) -> Result<Response, Refusal> {
-    let mut avoid = Vec::new();
-    for _ in 0..ATTEMPTS {
-        // The lease may have run out while the claim was under way, and the
-        // endpoint chosen now may have left without this entry knowing.
+    let mut excluded = Vec::new();
+    for _ in 0..MAX_ATTEMPTS {
+        // The lease may have expired while the claim was in flight. Without a
+        // lease, the fleet may list endpoints that have departed.
         let picked = match state.holds_lease() {
-            true => pick(state, work, &avoid),
+            true => pick(state, service_call, &excluded),
             false => None,
         };
         let Some((endpoint, choice)) = picked else { break };
-        let Ok(call) = call(work, &endpoint) else { break };
-        let silence = Duration::from_millis(work.service.silence_ms);
+        let Ok(call) = call(service_call, &endpoint) else { break };
+        let silence = Duration::from_millis(service_call.service.silence_ms);
         let sent_at = state.now();
         let result = state.dispatcher.once(call, silence).await;
-        note_end(state, &work.service.name, &choice, sent_at, &result);
+        record_end(
+            state,
+            &service_call.service.name,
+            &choice,
+            sent_at,
+            &result,
+        );
         match result {
             Ok(answer) => {
                 return Ok(settle_answer(state, key, owner, answer).await);
@@ -286,26 +312,32 @@
             Err(failed) if failed.verdict == Verdict::NotRun => {
                 info!(
                     target: "plain",
-                    "{} was not reached: {}.", endpoint.id, failed.text
+                    "Endpoint {} did not run the request: {}.",
+                    endpoint.id,
+                    failed.text
                 );
-                avoid.push((endpoint.id, endpoint.incarnation));
+                excluded.push((endpoint.id, endpoint.incarnation));
             }
             Err(failed) => {
                 warn!(
                     target: "plain",
-                    "{} may have run {key}: {}.", endpoint.id, failed.text
+                    "Endpoint {} may have run request {key}: {}.",
+                    endpoint.id,
+                    failed.text
                 );
-                let fingerprint = fingerprint::of(&parts_of(work));
-                state.note_failure(fingerprint, &endpoint, &failed).await;
-                return Err(settle_doubt(state, key, owner, failed));
+                let fingerprint = fingerprint::of(&digest_parts(service_call));
+                state
+                    .investigate_failure(fingerprint, &endpoint, &failed)
+                    .await;
+                return Err(settle_unknown(state, key, owner, failed));
             }
         }
     }
-    // Nothing was sent anywhere: the key is free again, and this is said at
-    // once; a settlement that is late only makes a repeat wait.
+    // No endpoint ran the request, so the claim is released and the caller is
+    // answered without waiting for a late release: it only delays a retry.
     let freed = release(key, owner);
-    let freed = settle_within(state, freed, SETTLE_WAIT).await;
-    let mut refusal = nobody(Verdict::NotRun);
+    let freed = settle_within(state, freed, SETTLE_TIMEOUT).await;
+    let mut refusal = no_endpoint(Verdict::NotRun);
     if !freed {
         refusal.retry_after_ms = Some(2000);
     }
@@ -331,13 +363,14 @@
         truncated: false,
     };
     let settlement = settlement(key, owner, record);
-    settle_within(state, settlement, SETTLE_WAIT).await;
+    settle_within(state, settlement, SETTLE_TIMEOUT).await;
     state.retries().record_success();
-    respond(answer)
+    build_response(answer)
 }
 
-/// Records that nobody knows, and says so to the caller at once.
-fn settle_doubt(
+/// Settles a claim whose outcome is unknown in the background, and returns
+/// the refusal for the caller.
+fn settle_unknown(
     state: &Shared,
     key: &str,
     owner: &str,
@@ -356,8 +389,8 @@
     Refusal::doubtful(failed.text)
 }
 
-/// Waits for another's run of the same request.
-async fn follow(
+/// Waits for the answer of the call that holds the claim on the same key.
+async fn wait_for_holder(
     state: &Shared,
     key: &str,
     mut outcome: ClaimOutcome,
@@ -365,7 +398,9 @@
 ) -> Result<Response, Refusal> {
     loop {
         match claim_state(&outcome) {
-            claim_outcome::State::Settled => return settled(&outcome),
+            claim_outcome::State::Settled => {
+                return settled_response(&outcome);
+            }
             claim_outcome::State::Mismatch => {
                 return Err(Refusal::bad(
                     StatusCode::UNPROCESSABLE_ENTITY,
@@ -374,15 +409,16 @@
             }
             claim_outcome::State::Held => {
                 if !owner_lives(state, &outcome.owner) {
-                    return Err(lost());
+                    return Err(owner_crashed());
                 }
             }
-            // It was given back: never sent. This caller may try again.
+            // The claim was released: the request was not run, so the caller
+            // may retry.
             claim_outcome::State::Unknown | claim_outcome::State::Granted => {
                 return Err(Refusal::later("it was not sent; repeat it", 1));
             }
         }
-        if state.now() + HELD_PAUSE.as_millis() as u64 >= deadline {
+        if state.now() + CLAIM_POLL_INTERVAL.as_millis() as u64 >= deadline {
             return Err(Refusal {
                 status: StatusCode::GATEWAY_TIMEOUT,
                 verdict: Verdict::MayHaveRun,
@@ -390,17 +426,17 @@
                 retry_after_ms: Some(500),
             });
         }
-        sleep(HELD_PAUSE).await;
+        sleep(CLAIM_POLL_INTERVAL).await;
         outcome = look_up(state, key).await?;
     }
 }
 
-fn lost() -> Refusal {
+fn owner_crashed() -> Refusal {
     let text = "the entry that ran it is gone; it will not be sent again";
     Refusal::doubtful(text)
 }
 
-fn settled(outcome: &ClaimOutcome) -> Result<Response, Refusal> {
+fn settled_response(outcome: &ClaimOutcome) -> Result<Response, Refusal> {
     let answer = outcome.answer.clone().unwrap_or_default();
     if Verdict::from_u32(answer.verdict) != Verdict::Ran {
         return Err(Refusal::doubtful("its endpoint did not answer"));
@@ -425,51 +461,50 @@
     Ok(response)
 }
 
-// ---- Endpoints and headers ---------------------------------------------------
+// ---- Endpoints and headers -------------------------------------------------
 
-/// What makes two requests the same one.
-fn digest(work: &Work) -> Vec<u8> {
-    fingerprint::digest(&parts_of(work)).to_vec()
+/// Returns the digest that two requests share if they are the same request.
+fn digest(service_call: &ServiceCall) -> Vec<u8> {
+    fingerprint::digest(&digest_parts(service_call)).to_vec()
 }
 
-fn parts_of(work: &Work) -> [&[u8]; 5] {
+fn digest_parts(service_call: &ServiceCall) -> [&[u8]; 5] {
     [
-        work.caller.team.as_bytes(),
-        work.service.name.as_bytes(),
-        work.method.as_str().as_bytes(),
-        work.path.as_bytes(),
-        &work.body,
+        service_call.caller.team.as_bytes(),
+        service_call.service.name.as_bytes(),
+        service_call.method.as_str().as_bytes(),
+        service_call.path.as_bytes(),
+        &service_call.body,
     ]
 }
 
 fn pick(
     state: &Shared,
-    work: &Work,
-    avoid: &[(String, u64)],
+    service_call: &ServiceCall,
+    excluded: &[(String, u64)],
 ) -> Option<(Endpoint, Choice)> {
-    let ask = RouteRequest {
-        tokens: 0,
-        blocks: &[],
-        block_ends: &[],
-        excluded: avoid,
-    };
-    state.fleet().pick(state.now(), &work.service.name, &ask)
+    let request =
+        RouteRequest { tokens: 0, blocks: &[], block_ends: &[], excluded };
+    state.fleet().pick(state.now(), &service_call.service.name, &request)
 }
 
-fn call(work: &Work, endpoint: &Endpoint) -> Result<Call, Refusal> {
+fn call(
+    service_call: &ServiceCall,
+    endpoint: &Endpoint,
+) -> Result<Call, Refusal> {
     let address = endpoint.address.parse().map_err(|_| {
         Refusal::later("an endpoint has no usable address", 500)
     })?;
     Ok(Call {
         address,
-        method: work.method.clone(),
-        path: work.path.clone(),
-        headers: work.headers.clone(),
-        body: work.body.clone(),
+        method: service_call.method.clone(),
+        path: service_call.path.clone(),
+        headers: service_call.headers.clone(),
+        body: service_call.body.clone(),
     })
 }
 
-fn note_end(
+fn record_end(
     state: &Shared,
     service: &str,
     choice: &Choice,
@@ -481,9 +516,9 @@
     let Some(pool) = fleet.pool(service) else { return };
     match result {
         Ok(answer) => {
-            let held = now.saturating_sub(sent_at) as f32;
-            pool.record_end(now, choice.ticket, true, Some(held));
-            let load = load_of(&answer.headers);
+            let duration_ms = now.saturating_sub(sent_at) as f32;
+            pool.record_end(now, choice.ticket, true, Some(duration_ms));
+            let load = parse_load(&answer.headers);
             if let Some(load) = load {
                 let (id, incarnation) = (&choice.id, choice.incarnation);
                 pool.record_load(now, id, incarnation, load, 0);
@@ -493,12 +528,12 @@
     }
 }
 
-/// The load that an endpoint put into its answer.
-pub fn load_of(headers: &HeaderMap) -> Option<u32> {
+/// Returns the load that an endpoint reported in its answer.
+pub fn parse_load(headers: &HeaderMap) -> Option<u32> {
     headers.get(LOAD_HEADER)?.to_str().ok()?.parse().ok()
 }
 
-fn respond(answer: Answer) -> Response {
+fn build_response(answer: Answer) -> Response {
     let kind = answer
         .headers
         .get(header::CONTENT_TYPE)
@@ -509,9 +544,10 @@
     response
 }
 
-/// The headers that go on to an endpoint: not those of this connection.
-fn passed_on(headers: &HeaderMap) -> HeaderMap {
-    const KEPT_BACK: [&str; 8] = [
+/// Returns the headers to forward to an endpoint, without those that apply
+/// to the caller's connection only.
+fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    const CONNECTION_HEADERS: [&str; 8] = [
         "connection",
         "content-length",
         "host",
@@ -521,9 +557,9 @@
         "transfer-encoding",
         "upgrade",
     ];
-    let mut passed = headers.clone();
-    for name in KEPT_BACK {
-        passed.remove(name);
+    let mut forwarded = headers.clone();
+    for name in CONNECTION_HEADERS {
+        forwarded.remove(name);
     }
-    passed
+    forwarded
 }
--- a/src/entry/suspects.rs
+++ b/src/entry/suspects.rs
@@ -1,7 +1,8 @@
-//! Requests that may have ended endpoints, as this entry knows them.
+//! Quarantine of requests that may have crashed endpoints.
 //!
-//! What is decided by it stands in [`quarantine`](crate::decide::quarantine).
-//! Entries don't tell each other: each lets a request end three endpoints.
+//! The rules are in [`quarantine`](crate::decide::quarantine). Entries do not
+//! exchange crash reports, so each entry lets a request crash three endpoints
+//! before it quarantines the request.
 
 use std::time::Duration;
 
@@ -19,29 +20,31 @@
     wire::Endpoint,
 };
 
-/// Before an endpoint is tried once more, so that a process that ends has
-/// closed all that it had open.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Delay between a failed request and the check whether the endpoint still
+/// accepts connections. A process that is exiting needs this time to close
+/// its sockets.
+const CRASH_CHECK_DELAY: Duration = Duration::from_millis(20);
 
 impl State {
-    /// Finds out whether an endpoint that failed a request has ended, and
-    /// notes the request if so.
-    pub async fn note_failure(
+    /// Checks whether an endpoint that failed a request has crashed, and
+    /// records the crash against the request if so.
+    pub async fn investigate_failure(
         &self,
         fingerprint: u64,
         endpoint: &Endpoint,
         failed: &Failed,
     ) {
-        // One that was not reached has not run it.
+        // An endpoint that was not reached did not run the request.
         if failed.verdict == Verdict::NotRun {
             return;
         }
-        sleep(PAUSE).await;
+        sleep(CRASH_CHECK_DELAY).await;
         let Ok(address) = endpoint.address.parse() else { return };
         if !self.dispatcher.has_ended(address).await {
             return;
         }
-        // One that said that it leaves ends with what it still has.
+        // An endpoint that announced its departure exits with requests in
+        // flight; its exit is not a crash.
         if has_left(self, &endpoint.id, endpoint.incarnation) {
             return;
         }
@@ -56,38 +59,37 @@
             fingerprint = fingerprint::shown(fingerprint),
             endpoint = endpoint.id,
             crashes,
-            "Endpoint ended under a request."
+            "Endpoint crashed while it ran a request."
         );
     }
 
-    /// Notes that a request has ended well.
-    pub fn note_success(&self, fingerprint: u64) {
+    /// Records that a request has succeeded.
+    pub fn record_success(&self, fingerprint: u64) {
         let now = self.now() as i64;
         let success = Success { fingerprint, at: now };
         self.quarantine().record_success(now, success, Source::Other);
     }
 
-    /// Refuses a request that ends the endpoints that run it, unless it is time
-    /// to try it again.
-    pub fn keep_away(
+    /// Refuses a quarantined request, unless a trial is due.
+    pub fn check_quarantine(
         &self,
         fingerprint: u64,
         service: &str,
     ) -> Result<(), Refusal> {
-        let Some(reason) = self.kept_away(fingerprint, service) else {
+        let Some(reason) = self.quarantine_reason(fingerprint, service) else {
             return Ok(());
         };
         let now = self.now() as i64;
         let mut quarantine = self.quarantine();
-        // Nobody else tries it: entries don't tell each other.
+        // The rank is 0 because entries do not share trials.
         if quarantine.grant_trial(now, fingerprint, reason, 0) {
             return Ok(());
         }
-        Err(Refusal::later(told(reason), reason.retry_after_ms()))
+        Err(Refusal::later(quarantine_text(reason), reason.retry_after_ms()))
     }
 
-    /// Why a request may not go to an endpoint now.
-    pub fn kept_away(
+    /// Returns why a request may not be sent to endpoints now.
+    pub fn quarantine_reason(
         &self,
         fingerprint: u64,
         service: &str,
@@ -101,7 +103,7 @@
     }
 }
 
-/// The reason, for callers.
-pub fn told(reason: Reason) -> String {
+/// Formats the reason of a quarantine for callers.
+pub fn quarantine_text(reason: Reason) -> String {
     format!("{} endpoints ended under it", reason.crashes)
 }
