--- a/src/entry/plain.rs
+++ b/src/entry/plain.rs
@@ -130,7 +130,7 @@
 pub async fn reread(state: &Shared, key: &str) -> Result<Response, Refusal> {
     let outcome = look_up(state, key).await?;
     match claim_state(&outcome) {
-        claim_outcome::State::Settled => settled_response(&outcome),
+        claim_outcome::State::Settled => read_answer(&outcome),
         claim_outcome::State::Held if owner_lives(state, &outcome.owner) => {
             Err(Refusal {
                 status: StatusCode::ACCEPTED,
@@ -398,9 +398,7 @@
 ) -> Result<Response, Refusal> {
     loop {
         match claim_state(&outcome) {
-            claim_outcome::State::Settled => {
-                return settled_response(&outcome);
-            }
+            claim_outcome::State::Settled => return read_answer(&outcome),
             claim_outcome::State::Mismatch => {
                 return Err(Refusal::bad(
                     StatusCode::UNPROCESSABLE_ENTITY,
@@ -436,7 +434,7 @@
     Refusal::doubtful(text)
 }
 
-fn settled_response(outcome: &ClaimOutcome) -> Result<Response, Refusal> {
+fn read_answer(outcome: &ClaimOutcome) -> Result<Response, Refusal> {
     let answer = outcome.answer.clone().unwrap_or_default();
     if Verdict::from_u32(answer.verdict) != Verdict::Ran {
         return Err(Refusal::doubtful("its endpoint did not answer"));
