--- a/src/control/client.rs
+++ b/src/control/client.rs
@@ -1,9 +1,10 @@
-//! How entries and operators reach the control members.
+//! The client through which entries and operators reach the control members.
 //!
-//! A [`Client`] knows all members and finds the leader: it follows the hint
-//! in a refusal, and goes on to the next member when one does not answer. It
-//! says honestly what became of a change: [`Error::Refused`] means that no
-//! member appended it; [`Error::Unknown`] that one may have.
+//! A [`Client`] knows all members and finds the leader. It follows the leader
+//! hint in a refusal, and switches to the next member when a member does not
+//! answer. Its errors state the effect of a change: [`Error::Refused`] means
+//! that no member appended the change, [`Error::Unknown`] that a member may
+//! have appended it.
 
 use std::{
     fmt,
@@ -16,7 +17,7 @@
 use tokio::time::{sleep, timeout};
 use tonic::{Code, Response, Status, transport::Channel};
 
-use super::server::{LEADER_HEADER, MESSAGE_LIMIT, allowance, connect};
+use super::server::{LEADER_HEADER, MESSAGE_LIMIT, connect, transfer_time};
 use crate::{
     verdict::Verdict,
     wire::{
@@ -25,23 +26,25 @@
     },
 };
 
-/// How long one member gets to answer, besides what the bytes that it is sent
-/// may take; longer than a sync is held.
+/// Time after which a call to one member times out, plus [`transfer_time`]
+/// for the bytes sent.
+///
+/// Longer than the leader holds a sync.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1200);
-/// Pause before asking again when nobody leads.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Delay before the next call when no leader is known.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why control gave no answer.
+/// A call to the control members that failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
     /// No member appended the change.
     Refused(String),
-    /// A member may have appended it.
+    /// A member may have appended the change.
     Unknown(String),
 }
 
 impl Error {
-    /// Whether the change may have been made.
+    /// Returns whether the change may have been appended, as a verdict.
     pub fn verdict(&self) -> Verdict {
         match self {
             Error::Refused(_) => Verdict::NotRun,
@@ -71,7 +74,7 @@
     client: ControlClient<Channel>,
 }
 
-/// A handle on the control members; calls may run side by side.
+/// A client of the control members; calls may run concurrently.
 #[derive(Debug)]
 pub struct Client {
     members: Mutex<Vec<SocketAddr>>,
@@ -80,19 +83,21 @@
 }
 
 #[derive(Clone, Copy)]
-enum Attempt {
-    /// Nothing can have been appended.
-    Harmless,
-    /// Something may have been.
-    Doubtful,
+enum Effect {
+    /// No member appended the change.
+    NotAppended,
+    /// A member may have appended the change.
+    MaybeAppended,
 }
 
 impl Client {
-    /// Starts with the first of `members`; connects when first used.
+    /// Creates a client that uses the first of `members` first.
+    ///
+    /// It connects on the first call.
     ///
     /// # Panics
     ///
-    /// When `members` is empty, or outside of a tokio runtime.
+    /// Panics when `members` is empty, or outside of a tokio runtime.
     pub fn open(members: &[SocketAddr]) -> Client {
         let address = members[0];
         Client {
@@ -105,56 +110,61 @@
         }
     }
 
-    /// Takes a new list of members, for a cluster whose members change.
+    /// Replaces the list of members, for a cluster whose members change.
     ///
-    /// An empty list changes nothing: there would be nobody to ask.
+    /// Ignores an empty list, which would leave no member to call.
     pub fn set_members(&self, members: &[SocketAddr]) {
         if !members.is_empty() {
             *self.members() = members.to_vec();
         }
     }
 
-    /// Asks this member next, as one that is known to lead.
+    /// Switches to the member at `address`, which is reported to lead.
     ///
-    /// Only once for each leader: one that turns out not to answer is not
-    /// gone back to on hearsay.
+    /// Has no effect when `address` equals that of the previous call: after a
+    /// member failed to answer, a repeated report of the same leader does not
+    /// make the client return to it.
     pub fn prefer_once(&self, address: SocketAddr) {
-        let mut preferred =
-            self.preferred.lock().unwrap_or_else(|held| held.into_inner());
+        let mut preferred = self
+            .preferred
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner());
         if preferred.replace(address) == Some(address) {
             return;
         }
-        let mut current =
-            self.current.lock().unwrap_or_else(|held| held.into_inner());
+        let mut current = self
+            .current
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner());
         if current.address != address {
             *current = Current { address, client: open_client(address) };
         }
     }
 
     fn members(&self) -> std::sync::MutexGuard<'_, Vec<SocketAddr>> {
-        self.members.lock().unwrap_or_else(|held| held.into_inner())
+        self.members.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Puts a change through the log, within `limit`.
+    /// Proposes a change to the log and retries until `limit` has passed.
     ///
-    /// A change is sent again after a doubtful attempt only if `repeat` says
-    /// that doing so is harmless, as it is for claims, settlements and
-    /// configurations, which all carry an id.
+    /// When a member may have appended the change, the client sends it again
+    /// only if `idempotent` is set. Claims, settlements and configurations
+    /// are idempotent, because they carry an id.
     pub async fn propose(
         &self,
         change: Change,
         limit: Duration,
-        repeat: bool,
+        idempotent: bool,
     ) -> Result<Outcome, Error> {
         let bytes = change.encoded_len();
-        self.call(limit, bytes, repeat, |mut client| {
+        self.call(limit, bytes, idempotent, |mut client| {
             let change = change.clone();
             async move { client.propose(change).await }
         })
         .await
     }
 
-    /// Reads through the quorum, within `limit`.
+    /// Sends a linearizable read and retries until `limit` has passed.
     pub async fn read(
         &self,
         query: Query,
@@ -167,7 +177,7 @@
         .await
     }
 
-    /// One sync, tried once at one member.
+    /// Sends one sync to the current member, without retries.
     pub async fn sync(
         &self,
         request: SyncRequest,
@@ -183,55 +193,62 @@
         &self,
         limit: Duration,
         bytes: usize,
-        repeat: bool,
+        idempotent: bool,
         run: impl Fn(ControlClient<Channel>) -> F,
     ) -> Result<T, Error>
     where
         F: Future<Output = Result<Response<T>, Status>>,
     {
-        let give_up = Instant::now() + limit;
-        let mut doubtful = false;
+        let deadline = Instant::now() + limit;
+        let mut maybe_appended = false;
         loop {
             let (address, client) = self.current();
-            let patience = ATTEMPT_TIMEOUT + allowance(bytes);
-            let result = timeout(patience, run(client)).await;
-            let (attempt, text, hint) = match result {
+            let attempt_timeout = ATTEMPT_TIMEOUT + transfer_time(bytes);
+            let result = timeout(attempt_timeout, run(client)).await;
+            let (effect, text, hint) = match result {
                 Ok(Ok(response)) => return Ok(response.into_inner()),
-                Ok(Err(status)) => judge(&status),
+                Ok(Err(status)) => classify_status(&status),
                 Err(_) => {
                     let text = format!("{address} was silent");
-                    (Attempt::Doubtful, text, None)
+                    (Effect::MaybeAppended, text, None)
                 }
             };
-            // Only members of the settings: how a member names another may
-            // not be how this process reaches it.
+            // Only addresses in this client's own list: the address under
+            // which a member knows the leader may not be reachable from this
+            // process.
             let hint = hint.filter(|hint| self.members().contains(hint));
-            self.move_on(address, hint);
-            doubtful |= matches!(attempt, Attempt::Doubtful);
-            let out_of_time = Instant::now() + PAUSE >= give_up;
-            if out_of_time || (doubtful && !repeat) {
-                return Err(match doubtful {
+            self.switch_member(address, hint);
+            maybe_appended |= matches!(effect, Effect::MaybeAppended);
+            let out_of_time = Instant::now() + RETRY_INTERVAL >= deadline;
+            if out_of_time || (maybe_appended && !idempotent) {
+                return Err(match maybe_appended {
                     true => Error::Unknown(text),
                     false => Error::Refused(text),
                 });
             }
             if hint.is_none() {
-                sleep(PAUSE).await;
+                sleep(RETRY_INTERVAL).await;
             }
         }
     }
 
     fn current(&self) -> (SocketAddr, ControlClient<Channel>) {
-        let current =
-            self.current.lock().unwrap_or_else(|held| held.into_inner());
+        let current = self
+            .current
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner());
         (current.address, current.client.clone())
     }
 
-    /// Leaves a member that did not answer; always a new connection, as the
-    /// old one may be silent for good.
-    fn move_on(&self, from: SocketAddr, hint: Option<SocketAddr>) {
-        let mut current =
-            self.current.lock().unwrap_or_else(|held| held.into_inner());
+    /// Switches to another member after a failed call.
+    ///
+    /// Always opens a new connection, as the old one may stay silent for
+    /// good.
+    fn switch_member(&self, from: SocketAddr, hint: Option<SocketAddr>) {
+        let mut current = self
+            .current
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner());
         if current.address != from && hint.is_none() {
             return;
         }
@@ -249,22 +266,24 @@
         .max_encoding_message_size(MESSAGE_LIMIT)
 }
 
-fn judge(status: &Status) -> (Attempt, String, Option<SocketAddr>) {
+fn classify_status(status: &Status) -> (Effect, String, Option<SocketAddr>) {
     let hint = status
         .metadata()
         .get(LEADER_HEADER)
         .and_then(|value| value.to_str().ok())
         .and_then(|text| text.parse().ok());
-    let attempt = match status.code() {
-        Code::FailedPrecondition => Attempt::Harmless,
-        Code::Unavailable if never_connected(status) => Attempt::Harmless,
-        _ => Attempt::Doubtful,
+    let effect = match status.code() {
+        Code::FailedPrecondition => Effect::NotAppended,
+        Code::Unavailable if is_connection_refused(status) => {
+            Effect::NotAppended
+        }
+        _ => Effect::MaybeAppended,
     };
-    (attempt, status.message().to_owned(), hint)
+    (effect, status.message().to_owned(), hint)
 }
 
-/// True when the connection itself could not be made.
-fn never_connected(status: &Status) -> bool {
+/// Returns true when the connection was refused, so nothing was sent.
+fn is_connection_refused(status: &Status) -> bool {
     let mut source = std::error::Error::source(status);
     while let Some(error) = source {
         let refused =
--- a/src/control/server.rs
+++ b/src/control/server.rs
@@ -1,4 +1,4 @@
-//! The network side of a control member: tonic services and links to peers.
+//! The gRPC services of a control member and its links to peers.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -25,63 +25,67 @@
     members_server::{Members, MembersServer},
 };
 
-/// Where a refusal says who leads.
+/// Metadata key under which a refusal names the leader's address.
 pub const LEADER_HEADER: &str = "azuremount-leader";
-/// A change that is not decided after this long is reported as unknown.
+/// Time after which the outcome of an undecided change or read is reported as
+/// unknown.
 const PROPOSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// A link on which one batch takes longer than this, and what its bytes may
-/// take besides, is replaced by a new connection.
+/// Time after which a batch sent to a peer times out, plus [`transfer_time`]
+/// for its bytes; the link then opens a new connection.
 const SEND_TIMEOUT: Duration = Duration::from_millis(500);
-/// What a link carries at least, in bytes a second: nearly half of the ten
-/// megabits of the narrowest, as answers to callers pass there too.
-const LEAST_BYTES_PER_S: f64 = 500_000.0;
-/// Messages that wait for one peer; Raft repeats what is dropped.
-const LINK_QUEUE: usize = 256;
-/// The largest message: a snapshot has to fit.
+/// Throughput assumed for a link, in bytes per second.
+///
+/// Nearly half of the narrowest link, 10 Mbit/s, because answers to callers
+/// share that link.
+const MIN_LINK_BYTES_PER_S: f64 = 500_000.0;
+/// Capacity of the message queue of one peer; Raft resends dropped messages.
+const MAX_QUEUED_MESSAGES: usize = 256;
+/// Maximum size of a message, in bytes; large enough for a snapshot.
 pub const MESSAGE_LIMIT: usize = 256 * 1024 * 1024;
 
-/// The services of one member.
+/// The gRPC services of one member.
 #[derive(Clone, Debug)]
 pub struct Service {
     thread: Thread,
 }
 
-/// How commands reach the member's thread.
+/// The sender of commands to the member's thread.
 #[derive(Clone, Debug)]
 enum Thread {
-    /// It lives as long as the process.
+    /// A thread that runs as long as the process.
     Fixed(mpsc::Sender<Command>),
-    /// It may be started anew, or not run at all for a while.
-    Seat(seat::Handle),
+    /// A thread that may be restarted, or may not run for a while.
+    Restartable(seat::Handle),
 }
 
 impl Service {
-    /// Answers with what the member's thread does.
+    /// Creates the services of a member whose thread runs as long as the
+    /// process.
     pub fn new(commands: mpsc::Sender<Command>) -> Service {
         Service { thread: Thread::Fixed(commands) }
     }
 
-    /// As [`Service::new`], for a member whose thread may be started anew.
+    /// Like [`Service::new`], for a member whose thread may be restarted.
     pub fn of_seat(seat: seat::Handle) -> Service {
-        Service { thread: Thread::Seat(seat) }
+        Service { thread: Thread::Restartable(seat) }
     }
 
-    /// The service by which members reach each other.
+    /// Returns the service that other members call.
     pub fn members(self) -> MembersServer<Service> {
         MembersServer::new(self).max_decoding_message_size(MESSAGE_LIMIT)
     }
 
-    /// The service for all others.
+    /// Returns the service that entries, nodes and operators call.
     pub fn control(self) -> ControlServer<Service> {
         ControlServer::new(self)
             .max_decoding_message_size(MESSAGE_LIMIT)
             .max_encoding_message_size(MESSAGE_LIMIT)
     }
 
-    async fn command(&self, command: Command) -> Result<(), Status> {
+    async fn send_command(&self, command: Command) -> Result<(), Status> {
         let commands = match &self.thread {
             Thread::Fixed(commands) => commands.clone(),
-            Thread::Seat(seat) => seat.commands().ok_or_else(|| {
+            Thread::Restartable(seat) => seat.commands().ok_or_else(|| {
                 Status::failed_precondition("the member's disk is away")
             })?,
         };
@@ -89,7 +93,7 @@
         sent.map_err(|_| Status::unavailable("the member is stopping"))
     }
 
-    /// Serves until `stop` ends.
+    /// Serves both services until `stop` completes.
     pub async fn serve(
         self,
         listener: TcpListener,
@@ -109,21 +113,21 @@
             .await
     }
 
-    async fn ask<T>(
+    async fn execute<T>(
         &self,
         command: impl FnOnce(oneshot::Sender<Result<T, Failure>>) -> Command,
     ) -> Result<Response<T>, Status> {
         let (answer, answered) = oneshot::channel();
-        self.command(command(answer)).await?;
+        self.send_command(command(answer)).await?;
         match timeout(PROPOSE_TIMEOUT, answered).await {
             Ok(Ok(Ok(value))) => Ok(Response::new(value)),
-            Ok(Ok(Err(failure))) => Err(status_of(failure)),
+            Ok(Ok(Err(failure))) => Err(to_status(failure)),
             Ok(Err(_)) | Err(_) => Err(Status::unknown("not decided in time")),
         }
     }
 }
 
-fn status_of(failure: Failure) -> Status {
+fn to_status(failure: Failure) -> Status {
     match failure {
         Failure::NotLeader(address) => {
             let mut status = Status::failed_precondition("not the leader");
@@ -145,7 +149,7 @@
         request: Request<Change>,
     ) -> Result<Response<Outcome>, Status> {
         let change = Box::new(request.into_inner());
-        self.ask(|answer| Command::Propose(change, answer)).await
+        self.execute(|answer| Command::Propose(change, answer)).await
     }
 
     async fn read(
@@ -153,7 +157,7 @@
         request: Request<Query>,
     ) -> Result<Response<QueryReply>, Status> {
         let query = request.into_inner();
-        self.ask(|answer| Command::Read(query, answer)).await
+        self.execute(|answer| Command::Read(query, answer)).await
     }
 
     async fn sync(
@@ -161,7 +165,7 @@
         request: Request<SyncRequest>,
     ) -> Result<Response<SyncReply>, Status> {
         let request = Box::new(request.into_inner());
-        self.ask(|answer| Command::Sync(request, answer)).await
+        self.execute(|answer| Command::Sync(request, answer)).await
     }
 }
 
@@ -172,7 +176,7 @@
         request: Request<Envelopes>,
     ) -> Result<Response<Empty>, Status> {
         let messages = request.into_inner().envelopes;
-        self.command(Command::Deliver(messages)).await?;
+        self.send_command(Command::Deliver(messages)).await?;
         Ok(Response::new(Empty {}))
     }
 
@@ -181,7 +185,7 @@
         _: Request<Empty>,
     ) -> Result<Response<ProbeReply>, Status> {
         let (answer, answered) = oneshot::channel();
-        self.command(Command::Probe(answer)).await?;
+        self.send_command(Command::Probe(answer)).await?;
         match answered.await {
             Ok((identity, empty)) => Ok(Response::new(ProbeReply {
                 id: identity.id,
@@ -193,16 +197,17 @@
     }
 }
 
-/// How much longer than a message of a few bytes one of `bytes` may take.
+/// Returns the time that a message of `bytes` bytes may take in addition to a
+/// fixed timeout.
 ///
-/// With one limit for all, a message that is too long for it is given up and
-/// sent again from its start for good: a snapshot never arrives, a change is
-/// never decided, and it looks as if the receiver were dead.
-pub fn allowance(bytes: usize) -> Duration {
-    Duration::from_secs_f64(bytes as f64 / LEAST_BYTES_PER_S)
+/// With a fixed timeout alone, a message too large for it would time out and
+/// be resent from the start forever: a snapshot would never arrive, a change
+/// would never be decided, and the receiver would appear to have crashed.
+pub fn transfer_time(bytes: usize) -> Duration {
+    Duration::from_secs_f64(bytes as f64 / MIN_LINK_BYTES_PER_S)
 }
 
-/// A connection that is made when first used.
+/// Returns a channel to `address` that connects on first use.
 pub fn connect(address: SocketAddr) -> Channel {
     Endpoint::from(
         http::Uri::builder()
@@ -217,49 +222,50 @@
     .connect_lazy()
 }
 
-/// Asks a member who it is, and whether it is empty.
+/// Asks a member for its identity and whether its data folder is empty.
 pub async fn probe(address: SocketAddr) -> Option<ProbeReply> {
     let mut client = MembersClient::new(connect(address));
     let reply = timeout(SEND_TIMEOUT, client.probe(Empty {})).await;
     reply.ok()?.ok().map(Response::into_inner)
 }
 
-/// Where messages for one peer wait.
+/// The message queue of one peer.
 #[derive(Debug)]
 pub struct Link {
     queue: mpsc::Sender<Envelope>,
 }
 
 impl Link {
-    /// Starts the task that sends to `address`, in order, in batches.
+    /// Starts the task that sends messages to `address` in order and in
+    /// batches.
     pub fn spawn(address: SocketAddr) -> Link {
-        let (queue, waiting) = mpsc::channel(LINK_QUEUE);
+        let (queue, waiting) = mpsc::channel(MAX_QUEUED_MESSAGES);
         tokio::spawn(run_link(address, waiting));
         Link { queue }
     }
 
-    /// Queues a message, or drops it when too many wait.
+    /// Queues a message, or drops it when the queue is full.
     pub fn send(&self, message: Envelope) {
         let _ = self.queue.try_send(message);
     }
 }
 
 async fn run_link(address: SocketAddr, mut queue: mpsc::Receiver<Envelope>) {
-    let open = || {
+    let open_client = || {
         MembersClient::new(connect(address))
             .max_encoding_message_size(MESSAGE_LIMIT)
     };
-    let mut client = open();
+    let mut client = open_client();
     let mut envelopes = Vec::new();
     while queue.recv_many(&mut envelopes, 64).await > 0 {
         let batch = Envelopes { envelopes: std::mem::take(&mut envelopes) };
-        let limit = SEND_TIMEOUT + allowance(batch.encoded_len());
-        let sent = timeout(limit, client.deliver(batch)).await;
+        let batch_timeout = SEND_TIMEOUT + transfer_time(batch.encoded_len());
+        let sent = timeout(batch_timeout, client.deliver(batch)).await;
         if !matches!(sent, Ok(Ok(_))) {
-            // A connection that something in between has forgotten stays
-            // silent for good, while new ones work. Keeping it would look
-            // like a dead peer; a new one is cheap.
-            client = open();
+            // A connection whose state a middlebox has lost stays silent
+            // forever, while new connections work. Kept in use, it would make
+            // the peer appear to have crashed; a new connection is cheap.
+            client = open_client();
         }
     }
 }
