--- a/src/control/disk.rs
+++ b/src/control/disk.rs
@@ -2,23 +2,23 @@
 //!
 //! ```text
 //! identity    the incarnation of this folder, written once
-//! log         frames: term and vote, and entries behind the snapshot
+//! log         frames: term, vote, and the entries after the snapshot
 //! snapshot    one frame: the newest snapshot
 //! ```
 //!
-//! A frame is one batch: everything that one sync makes last. It starts with
-//! a header of its length, a CRC of the payload and a CRC of the header
-//! itself. A batch is a single frame so that a write torn by a power cut can
-//! only ever be the last frame of the file.
+//! A frame holds one batch: all data that one sync makes durable. The frame
+//! header consists of the payload length, a CRC of the payload and a CRC of
+//! the two preceding header fields. Each batch is a single frame, so that a
+//! write torn by a power failure can only affect the last frame of the file.
 //!
-//! # Torn or damaged
+//! # Torn writes and damage
 //!
-//! Opening tells the two apart. A last frame that ends early, or fails its
-//! CRC at the very end of the file, or a tail of zeros, was never
-//! acknowledged: it is cut. Anything wrong before that was acknowledged once,
-//! and going on without it could lose a change: opening fails with
-//! [`Error::Damaged`], and an operator has to empty the folder, after which
-//! the member comes back as a learner.
+//! [`Disk::open`] distinguishes a torn write from damage. A last frame that is
+//! incomplete, a last frame that fails its CRC at the end of the file, and a
+//! tail of zeros were never acknowledged; they are truncated. An invalid frame
+//! before the end of the log was acknowledged, and dropping it could lose a
+//! change. In this case opening fails with [`Error::Damaged`]. An operator
+//! has to empty the folder; the member then rejoins as a learner.
 
 use std::{
     error, fmt,
@@ -32,25 +32,26 @@
 use super::raft::SavedState;
 use crate::wire::{DiskBatch, HardState, LogEntry, Snapshot};
 
-const HEADER: usize = 12;
+/// Length of a frame header: three 32-bit little-endian integers.
+const HEADER_BYTES: usize = 12;
 
-/// Why the data folder can't be used.
+/// An error that makes the data folder unusable.
 #[derive(Debug)]
 pub enum Error {
-    /// The system refused a file operation: a full disk, a failed sync.
+    /// A file operation failed, such as a write to a full disk or a sync.
     Io {
-        /// What was being done.
-        doing: &'static str,
-        /// Which file.
+        /// The operation that failed, as a verb.
+        operation: &'static str,
+        /// The file or folder.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A file holds something that was never written so.
+    /// A file holds data that this program did not write.
     Damaged {
-        /// Which file.
+        /// The file.
         path: PathBuf,
-        /// At which byte.
+        /// Offset of the first invalid frame, in bytes.
         offset: u64,
     },
 }
@@ -58,8 +59,8 @@
 impl fmt::Display for Error {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Error::Io { doing, path, source } => {
-                write!(out, "can't {doing} {}: {source}", path.display())
+            Error::Io { operation, path, source } => {
+                write!(out, "can't {operation} {}: {source}", path.display())
             }
             Error::Damaged { path, offset } => write!(
                 out,
@@ -80,7 +81,7 @@
     }
 }
 
-/// An open data folder. One process holds it at a time.
+/// An open data folder, locked against use by a second process.
 #[derive(Debug)]
 pub struct Disk {
     folder: PathBuf,
@@ -91,15 +92,16 @@
 }
 
 impl Disk {
-    /// Opens the folder, making it if need be, and reads what it holds.
+    /// Opens the folder, creates it if it does not exist, and reads its files.
     ///
     /// # Errors
     ///
-    /// [`Error::Io`] when a file can't be read or made, or another process
-    /// holds the folder; [`Error::Damaged`] as the module head says.
+    /// Returns [`Error::Io`] when a file can't be read or created or another
+    /// process holds the lock, and [`Error::Damaged`] as the module
+    /// documentation describes.
     pub fn open(folder: &Path) -> Result<(Disk, SavedState), Error> {
-        fs::create_dir_all(folder).map_err(failed("make", folder))?;
-        let incarnation = open_identity(folder)?;
+        fs::create_dir_all(folder).map_err(io_error("create", folder))?;
+        let incarnation = read_or_create_identity(folder)?;
         let snapshot = read_snapshot(&folder.join("snapshot"))?;
         let path = folder.join("log");
         let mut log = OpenOptions::new()
@@ -108,54 +110,57 @@
             .create(true)
             .truncate(false)
             .open(&path)
-            .map_err(failed("open", &path))?;
+            .map_err(io_error("open", &path))?;
         // Two processes on one folder would interleave their frames. The
-        // lock goes away with the process, however it ends.
-        log.try_lock().map_err(|held| Error::Io {
-            doing: "lock",
+        // operating system releases the lock when the process ends, also
+        // after a crash.
+        log.try_lock().map_err(|error| Error::Io {
+            operation: "lock",
             path: path.clone(),
-            source: held.into(),
+            source: error.into(),
         })?;
         let mut bytes = Vec::new();
-        log.read_to_end(&mut bytes).map_err(failed("read", &path))?;
+        log.read_to_end(&mut bytes).map_err(io_error("read", &path))?;
         let (batches, end) = read_frames(&path, &bytes)?;
         let saved = replay(batches, snapshot);
-        log.set_len(end as u64).map_err(failed("cut", &path))?;
+        log.set_len(end as u64).map_err(io_error("truncate", &path))?;
         log.seek(SeekFrom::Start(end as u64))
-            .map_err(failed("seek in", &path))?;
-        log.sync_all().map_err(failed("sync", &path))?;
+            .map_err(io_error("seek in", &path))?;
+        log.sync_all().map_err(io_error("sync", &path))?;
         sync_folder(folder)?;
         let disk = Disk {
             folder: folder.to_owned(),
             log,
             log_bytes: end as u64,
-            snapshot_bytes: size_of_file(&folder.join("snapshot")),
+            snapshot_bytes: file_size(&folder.join("snapshot")),
             incarnation,
         };
         Ok((disk, saved))
     }
 
-    /// The random number made with this folder.
+    /// Returns the incarnation: a random number drawn when the folder was
+    /// created.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// The size of the log, in bytes.
+    /// Returns the size of the log, in bytes.
     pub fn log_bytes(&self) -> u64 {
         self.log_bytes
     }
 
-    /// The size of the newest snapshot, in bytes; 0 without one.
+    /// Returns the size of the newest snapshot, in bytes; 0 without one.
     pub fn snapshot_bytes(&self) -> u64 {
         self.snapshot_bytes
     }
 
-    /// Makes a batch last: returns once it is synced.
+    /// Appends a batch to the log and syncs it.
     ///
     /// # Errors
     ///
-    /// After any error the folder must not be written again: a failed sync
-    /// may have dropped the pages, and a second one would report success.
+    /// After any error the folder must not be written again: after a failed
+    /// sync the kernel may have dropped the dirty pages, and the next sync
+    /// would report success.
     pub fn append(
         &mut self,
         hard: Option<HardState>,
@@ -163,16 +168,18 @@
     ) -> Result<(), Error> {
         let frame = encode_frame(&DiskBatch { hard, entries });
         let path = self.folder.join("log");
-        self.log.write_all(&frame).map_err(failed("write", &path))?;
-        self.log.sync_data().map_err(failed("sync", &path))?;
+        self.log.write_all(&frame).map_err(io_error("write", &path))?;
+        self.log.sync_data().map_err(io_error("sync", &path))?;
         self.log_bytes += frame.len() as u64;
         Ok(())
     }
 
-    /// Puts a snapshot in place, and cuts the log to what is behind it.
+    /// Replaces the snapshot, and replaces the log by `entries`, which follow
+    /// the snapshot.
     ///
-    /// The snapshot is renamed into place before the log is: after a crash
-    /// between the two, the old log's entries below it are passed over.
+    /// The new snapshot is renamed into place before the new log. After a
+    /// crash between the two renames, opening skips the entries of the old
+    /// log that the snapshot covers.
     pub fn install(
         &mut self,
         snapshot: &Snapshot,
@@ -185,10 +192,10 @@
         let batch = DiskBatch { hard: Some(hard), entries: entries.to_vec() };
         let frame = encode_frame(&batch);
         let log = self.replace("log", &frame)?;
-        log.try_lock().map_err(|held| Error::Io {
-            doing: "lock",
+        log.try_lock().map_err(|error| Error::Io {
+            operation: "lock",
             path: self.folder.join("log"),
-            source: held.into(),
+            source: error.into(),
         })?;
         self.log = log;
         self.log_bytes = frame.len() as u64;
@@ -200,37 +207,38 @@
     }
 }
 
-/// How long a file is that may not be there.
-fn size_of_file(path: &Path) -> u64 {
+/// Returns the length of a file in bytes, 0 if it does not exist.
+fn file_size(path: &Path) -> u64 {
     fs::metadata(path).map_or(0, |file| file.len())
 }
 
-/// Writes a new file, syncs it, renames it into place, syncs the folder.
+/// Replaces a file atomically: writes and syncs a new file, renames it into
+/// place and syncs the folder.
 fn replace(folder: &Path, name: &str, bytes: &[u8]) -> Result<File, Error> {
     let path = folder.join(name);
     let new = folder.join(format!("{name}.new"));
-    let mut file = File::create(&new).map_err(failed("make", &new))?;
-    file.write_all(bytes).map_err(failed("write", &new))?;
-    file.sync_all().map_err(failed("sync", &new))?;
-    fs::rename(&new, &path).map_err(failed("rename", &path))?;
+    let mut file = File::create(&new).map_err(io_error("create", &new))?;
+    file.write_all(bytes).map_err(io_error("write", &new))?;
+    file.sync_all().map_err(io_error("sync", &new))?;
+    fs::rename(&new, &path).map_err(io_error("rename", &path))?;
     sync_folder(folder)?;
     Ok(file)
 }
 
-fn failed<'a>(
-    doing: &'static str,
+fn io_error<'a>(
+    operation: &'static str,
     path: &'a Path,
 ) -> impl FnOnce(io::Error) -> Error + use<'a> {
     let path = path.to_owned();
-    move |source| Error::Io { doing, path, source }
+    move |source| Error::Io { operation, path, source }
 }
 
 fn sync_folder(folder: &Path) -> Result<(), Error> {
-    let opened = File::open(folder).map_err(failed("open", folder))?;
-    opened.sync_all().map_err(failed("sync", folder))
+    let opened = File::open(folder).map_err(io_error("open", folder))?;
+    opened.sync_all().map_err(io_error("sync", folder))
 }
 
-fn open_identity(folder: &Path) -> Result<u64, Error> {
+fn read_or_create_identity(folder: &Path) -> Result<u64, Error> {
     let path = folder.join("identity");
     match fs::read(&path) {
         Ok(bytes) => {
@@ -240,8 +248,8 @@
             Ok(u64::from_le_bytes(bytes))
         }
         Err(error) if error.kind() == io::ErrorKind::NotFound => {
-            // A log without an identity would let a member that forgot who
-            // it was vote a second time under a new name's log.
+            // With a new identity on an existing log, this member could vote
+            // a second time under another incarnation.
             let log = folder.join("log");
             if log.exists() {
                 return Err(Error::Damaged { path, offset: 0 });
@@ -250,7 +258,7 @@
             replace(folder, "identity", &incarnation.to_le_bytes())?;
             Ok(incarnation)
         }
-        Err(source) => Err(Error::Io { doing: "read", path, source }),
+        Err(source) => Err(Error::Io { operation: "read", path, source }),
     }
 }
 
@@ -262,12 +270,12 @@
         }
         Err(source) => {
             let path = path.to_owned();
-            return Err(Error::Io { doing: "read", path, source });
+            return Err(Error::Io { operation: "read", path, source });
         }
     };
     let damaged = || Error::Damaged { path: path.to_owned(), offset: 0 };
     match next_frame(&bytes) {
-        Frame::Whole(payload) => {
+        Frame::Intact(payload) => {
             Snapshot::decode(payload).map(Some).map_err(|_| damaged())
         }
         Frame::Torn | Frame::Damaged => Err(damaged()),
@@ -275,14 +283,14 @@
 }
 
 enum Frame<'a> {
-    Whole(&'a [u8]),
+    Intact(&'a [u8]),
     Torn,
     Damaged,
 }
 
 fn encode_frame(message: &impl Message) -> Vec<u8> {
     let payload = message.encode_to_vec();
-    let mut frame = Vec::with_capacity(HEADER + payload.len());
+    let mut frame = Vec::with_capacity(HEADER_BYTES + payload.len());
     frame.extend((payload.len() as u32).to_le_bytes());
     frame.extend(crc32fast::hash(&payload).to_le_bytes());
     frame.extend(crc32fast::hash(&frame[..8]).to_le_bytes());
@@ -291,10 +299,10 @@
 }
 
 fn next_frame(bytes: &[u8]) -> Frame<'_> {
-    if bytes.len() < HEADER || bytes.iter().all(|byte| *byte == 0) {
+    if bytes.len() < HEADER_BYTES || bytes.iter().all(|byte| *byte == 0) {
         return Frame::Torn;
     }
-    let word = |at: usize| {
+    let read_u32 = |at: usize| {
         u32::from_le_bytes([
             bytes[at],
             bytes[at + 1],
@@ -302,16 +310,16 @@
             bytes[at + 3],
         ])
     };
-    if crc32fast::hash(&bytes[..8]) != word(8) {
+    if crc32fast::hash(&bytes[..8]) != read_u32(8) {
         return Frame::Damaged;
     }
-    let end = HEADER + word(0) as usize;
+    let end = HEADER_BYTES + read_u32(0) as usize;
     if end > bytes.len() {
         return Frame::Torn;
     }
-    let payload = &bytes[HEADER..end];
-    if crc32fast::hash(payload) == word(4) {
-        Frame::Whole(payload)
+    let payload = &bytes[HEADER_BYTES..end];
+    if crc32fast::hash(payload) == read_u32(4) {
+        Frame::Intact(payload)
     } else if end == bytes.len() {
         Frame::Torn
     } else {
@@ -319,7 +327,8 @@
     }
 }
 
-/// Reads all frames; returns them and where the whole ones end.
+/// Decodes all intact frames; returns their batches and the offset after
+/// the last one.
 fn read_frames(
     path: &Path,
     bytes: &[u8],
@@ -330,11 +339,11 @@
         let damaged =
             || Error::Damaged { path: path.to_owned(), offset: at as u64 };
         match next_frame(&bytes[at..]) {
-            Frame::Whole(payload) => {
+            Frame::Intact(payload) => {
                 let batch =
                     DiskBatch::decode(payload).map_err(|_| damaged())?;
                 batches.push(batch);
-                at += HEADER + payload.len();
+                at += HEADER_BYTES + payload.len();
             }
             Frame::Torn => break,
             Frame::Damaged => return Err(damaged()),
@@ -355,8 +364,8 @@
                 continue;
             }
             saved.entries.truncate((entry.index - base - 1) as usize);
-            // An entry behind a gap belongs to a log that a snapshot
-            // replaced before the process died.
+            // An entry after a gap belongs to a log that a snapshot replaced
+            // before the process crashed.
             if entry.index == base + saved.entries.len() as u64 + 1 {
                 saved.entries.push(entry);
             }
--- a/tests/all/disk.rs
+++ b/tests/all/disk.rs
@@ -1,4 +1,4 @@
-//! The data folder: torn tails, damage, locks, full disks.
+//! Tests of the data folder: torn writes, damage, locks, full disks.
 
 use std::{
     fs::{self, OpenOptions},
@@ -16,16 +16,16 @@
     wire::{HardState, LogEntry, Membership, Snapshot},
 };
 
-static FOLDERS: AtomicU32 = AtomicU32::new(0);
+static FOLDER_COUNT: AtomicU32 = AtomicU32::new(0);
 
-/// A folder that goes away with the test.
-struct Folder(PathBuf);
+/// A folder that is removed at the end of the test.
+struct TempFolder(PathBuf);
 
-impl Folder {
-    fn new() -> Folder {
-        let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
+impl TempFolder {
+    fn new() -> TempFolder {
+        let number = FOLDER_COUNT.fetch_add(1, Ordering::Relaxed);
         let name = format!("azuremount-disk-{}-{number}", std::process::id());
-        Folder(std::env::temp_dir().join(name))
+        TempFolder(std::env::temp_dir().join(name))
     }
 
     fn log(&self) -> PathBuf {
@@ -33,21 +33,21 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-/// Opens the folder; its lock may linger for a moment.
+/// Opens the folder, and retries while it is still locked.
 ///
-/// Other tests start processes: between fork and exec a child shares this
-/// process's open files, and with them the lock of a disk that is dropped
-/// here meanwhile. The product itself starts no process.
-fn open(folder: &Folder) -> Result<(Disk, SavedState), Error> {
+/// Other tests start processes. Between fork and exec, a child shares this
+/// process's open files and with them the lock of a disk that this test drops
+/// at that time. The daemons themselves start no processes.
+fn open(folder: &TempFolder) -> Result<(Disk, SavedState), Error> {
     for _ in 0..500 {
         match Disk::open(&folder.0) {
-            Err(Error::Io { doing: "lock", .. }) => {
+            Err(Error::Io { operation: "lock", .. }) => {
                 std::thread::sleep(std::time::Duration::from_millis(10));
             }
             opened => return opened,
@@ -64,7 +64,7 @@
     HardState { term, vote: 1, vote_incarnation: 7, commit: 0 }
 }
 
-fn write_ten(folder: &Folder) {
+fn write_ten_entries(folder: &TempFolder) {
     let (mut disk, _) = open(folder).expect("a new folder");
     for index in 1..=10 {
         disk.append(Some(hard(index)), vec![entry(index)]).expect("a write");
@@ -72,9 +72,9 @@
 }
 
 #[test]
-fn what_was_appended_is_there_after_a_restart() {
-    let folder = Folder::new();
-    write_ten(&folder);
+fn appended_entries_survive_a_restart() {
+    let folder = TempFolder::new();
+    write_ten_entries(&folder);
     let (disk, saved) = open(&folder).expect("a known folder");
     assert_eq!(saved.entries.len(), 10);
     assert_eq!(saved.hard_state, hard(10));
@@ -85,42 +85,45 @@
 }
 
 #[test]
-fn an_entry_whose_index_is_taken_replaces_the_tail() {
-    let folder = Folder::new();
-    write_ten(&folder);
+fn an_entry_with_an_existing_index_replaces_the_tail() {
+    let folder = TempFolder::new();
+    write_ten_entries(&folder);
     let (mut disk, _) = open(&folder).expect("a known folder");
     let new = LogEntry { index: 6, term: 2, payload: b"new".to_vec() };
     disk.append(None, vec![new]).expect("a write");
     drop(disk);
     let (_, saved) = open(&folder).expect("a known folder");
-    let terms: Vec<u64> = saved.entries.iter().map(|one| one.term).collect();
+    let terms: Vec<u64> =
+        saved.entries.iter().map(|entry| entry.term).collect();
     assert_eq!(terms, [1, 1, 1, 1, 1, 2]);
 }
 
-/// Symptom: a member does not start after a power cut. Sequence: the last
-/// frame was written in part. Cause: a torn tail was taken for damage.
+/// Guards against a member that does not start after a power failure because
+/// a partly written last frame is treated as damage.
 #[test]
-fn a_torn_tail_is_cut_at_every_byte() {
-    let folder = Folder::new();
-    write_ten(&folder);
+fn a_frame_torn_at_any_byte_is_truncated() {
+    let folder = TempFolder::new();
+    write_ten_entries(&folder);
     let whole = fs::read(folder.log()).expect("the log");
     let frame = whole.len() / 10;
     for torn in 1..frame - 2 {
-        fs::write(folder.log(), &whole[..whole.len() - torn]).expect("a cut");
+        fs::write(folder.log(), &whole[..whole.len() - torn])
+            .expect("a truncated log");
         let (mut disk, saved) = open(&folder).expect("a torn tail");
         assert_eq!(saved.entries.len(), 9, "{torn} bytes torn off");
-        disk.append(None, vec![entry(10)]).expect("a write behind the cut");
+        disk.append(None, vec![entry(10)])
+            .expect("a write after the truncation");
         drop(disk);
-        let (_, saved) = open(&folder).expect("a mended log");
+        let (_, saved) = open(&folder).expect("a repaired log");
         assert_eq!(saved.entries.len(), 10);
     }
 }
 
-/// The file had grown before the power cut, its data had not been written.
+/// A power failure can leave a file extended with its data not yet written.
 #[test]
-fn a_tail_of_zeros_is_cut() {
-    let folder = Folder::new();
-    write_ten(&folder);
+fn a_tail_of_zeros_is_truncated() {
+    let folder = TempFolder::new();
+    write_ten_entries(&folder);
     let mut log =
         OpenOptions::new().append(true).open(folder.log()).expect("the log");
     log.write_all(&[0; 5000]).expect("zeros");
@@ -128,30 +131,29 @@
     assert_eq!(saved.entries.len(), 10);
 }
 
-/// Symptom: acknowledged changes are gone after a restart. Sequence: a byte
-/// in the middle of the log goes bad. Cause: everything behind the bad byte
-/// was taken for a torn tail.
+/// Guards against the loss of acknowledged changes when a byte in the middle
+/// of the log is corrupted and all data after it is treated as a torn write.
 #[test]
 fn damage_before_the_end_is_an_error_at_every_byte() {
-    let folder = Folder::new();
-    write_ten(&folder);
+    let folder = TempFolder::new();
+    write_ten_entries(&folder);
     let whole = fs::read(folder.log()).expect("the log");
     for at in 0..whole.len() * 9 / 10 - 12 {
-        let mut bad = whole.clone();
-        bad[at] ^= 0x41;
-        fs::write(folder.log(), &bad).expect("a bad byte");
+        let mut corrupted = whole.clone();
+        corrupted[at] ^= 0x41;
+        fs::write(folder.log(), &corrupted).expect("a corrupted byte");
         let opened = open(&folder);
         assert!(
             matches!(opened, Err(Error::Damaged { .. })),
-            "a bad byte {at} went unnoticed"
+            "corruption of byte {at} was not detected"
         );
     }
 }
 
 #[test]
 fn a_snapshot_replaces_the_log_before_it() {
-    let folder = Folder::new();
-    write_ten(&folder);
+    let folder = TempFolder::new();
+    write_ten_entries(&folder);
     let (mut disk, _) = open(&folder).expect("a known folder");
     let snapshot = Snapshot {
         index: 8,
@@ -169,11 +171,11 @@
     assert_eq!(saved.hard_state, hard(3));
 }
 
-/// The process died between putting the snapshot and the log in place.
+/// Simulates a crash between the renames of the snapshot and the log.
 #[test]
-fn an_old_log_beside_a_new_snapshot_is_passed_over() {
-    let folder = Folder::new();
-    write_ten(&folder);
+fn old_log_entries_that_a_new_snapshot_covers_are_skipped() {
+    let folder = TempFolder::new();
+    write_ten_entries(&folder);
     let old = fs::read(folder.log()).expect("the log");
     let (mut disk, _) = open(&folder).expect("a known folder");
     let snapshot = Snapshot { index: 8, term: 1, ..Snapshot::default() };
@@ -186,31 +188,31 @@
 
 #[test]
 fn a_second_process_can_not_open_the_folder() {
-    let folder = Folder::new();
+    let folder = TempFolder::new();
     let (_held, _) = open(&folder).expect("a new folder");
     let second = Disk::open(&folder.0);
-    assert!(matches!(second, Err(Error::Io { doing: "lock", .. })));
+    assert!(matches!(second, Err(Error::Io { operation: "lock", .. })));
 }
 
-/// A folder that lost its identity must not come back under a new name.
+/// A folder that lost its identity must not get a new incarnation.
 #[test]
 fn a_log_without_an_identity_is_an_error() {
-    let folder = Folder::new();
-    write_ten(&folder);
+    let folder = TempFolder::new();
+    write_ten_entries(&folder);
     fs::remove_file(folder.0.join("identity")).expect("removed");
     let opened = open(&folder);
     assert!(matches!(opened, Err(Error::Damaged { .. })));
 }
 
-/// Symptom: a member with a full disk goes on and acknowledges what it did
-/// not write. Sequence: the limit of a file's size is reached while changes
-/// come in. The process must end with the exit code for its data folder, and
-/// start again once there is room.
+/// Guards against a member with a full disk that continues and acknowledges
+/// data it did not write. The member reaches its file size limit while it
+/// writes. The process must exit with the code for data folder errors, and
+/// the folder must be usable again once there is space.
 #[test]
-fn a_full_disk_ends_the_process_honestly() {
-    let folder = Folder::new();
+fn a_full_disk_ends_the_process_with_an_error() {
+    let folder = TempFolder::new();
     let listen = "127.0.0.1:0";
-    // The signal that the limit brings is ignored, so that the write fails.
+    // SIGXFSZ is ignored, so that the write fails with an error.
     let script = format!(
         "trap '' XFSZ; ulimit -f 1; exec {} --id 1 --listen {listen} \
          --members 1=127.0.0.1:9 --data-folder {} --heartbeat-ms 10 \
@@ -218,8 +220,8 @@
         env!("CARGO_BIN_EXE_azuremount-control"),
         folder.0.display()
     );
-    // 800 bytes are there already; the first writes of the member, its
-    // elections among them, reach the limit of one block.
+    // The log already holds over 800 bytes. The first writes of the member,
+    // including those of its elections, reach the limit of one block.
     let (mut disk, _) = open(&folder).expect("a new folder");
     let member = azuremount::wire::Member {
         id: 1,
@@ -245,9 +247,9 @@
         .stdout(Stdio::null())
         .output()
         .expect("sh runs");
-    let said = String::from_utf8_lossy(&output.stderr);
-    assert_eq!(output.status.code(), Some(3), "{said}");
-    assert!(said.contains("can't write"), "{said}");
-    let (_, saved) = open(&folder).expect("a folder to go on with");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert_eq!(output.status.code(), Some(3), "{stderr}");
+    assert!(stderr.contains("can't write"), "{stderr}");
+    let (_, saved) = open(&folder).expect("a usable folder");
     assert_eq!(saved.entries.len(), 2);
 }
