--- a/src/control/ledger.rs
+++ b/src/control/ledger.rs
@@ -1,30 +1,30 @@
-//! The state that the replicated log builds: configuration, claims, fleet.
+//! The replicated state machine: configuration, claims, fleet, plan, usage.
 //!
-//! A [`Ledger`] is a plain function of the changes applied to it, in order:
-//! every member that applied the same changes holds the same state. It reads
-//! no clock; retention goes by the time that the leader wrote into each
+//! A [`Ledger`] is a deterministic function of the changes applied to it:
+//! members that apply the same changes in the same order hold the same state.
+//! It reads no clock. Retention uses the time that the leader writes into each
 //! change.
 //!
 //! # Claims
 //!
-//! A request that must not run twice is claimed before its first byte leaves
-//! for an endpoint. A key goes through these states:
+//! An entry claims a request that must not run twice before it sends the first
+//! byte to an endpoint. A key goes through these states:
 //!
 //! ```text
 //! free → claimed by an entry → settled with an answer
-//!   ↑___________|  released: it was never sent
+//!   ↑___________|  released: the request was never sent
 //! ```
 //!
-//! A claim is granted once. The same owner asking again is told that it holds
-//! the key, not that it may send: an owner whose first answer was lost can't
-//! tell whether it sent already, and the ledger can't either. So a grant
-//! names a *dispatch*: owners put a fresh dispatch id into `owner`.
+//! A claim is granted once. A second claim by the same owner returns `HELD`,
+//! not `GRANTED`: an owner whose first answer was lost may have sent the
+//! request already, and neither the owner nor the ledger can know. A grant is
+//! therefore for one *dispatch*: owners put a new dispatch id into `owner`.
 //!
 //! # Change ids
 //!
-//! Each configuration change carries an id that its operator made. The ids of
-//! all accepted changes are kept for good: a change that is sent again after
-//! its answer was lost gets that first answer, however long ago it was.
+//! Each configuration change carries an id that the operator chose. The ids of
+//! all accepted changes are kept forever: a change that is sent again after
+//! its answer was lost gets the first answer, regardless of the time passed.
 
 use prost::Message;
 use sha2::{Digest, Sha256};
@@ -42,28 +42,30 @@
     },
 };
 
-/// How long a claim and its answer are kept.
+/// Retention period of a claim and its answer, in ms.
 pub const CLAIM_RETENTION_MS: u64 = 24 * 60 * 60 * 1000;
-/// How long the mark of a departed endpoint is kept.
+/// Retention period of the record of a departed endpoint, in ms.
 pub const DEPARTED_RETENTION_MS: u64 = 60 * 60 * 1000;
-/// How many usage windows are remembered; reports are due within a few.
-pub const USAGE_WINDOWS: usize = 64;
-/// The longest answer that is kept whole, in bytes.
-pub const ANSWER_LIMIT: usize = 64 * 1024;
+/// Maximum number of usage windows kept; a usage report is due within a few
+/// windows.
+pub const MAX_USAGE_WINDOWS: usize = 64;
+/// Maximum length of a stored answer body, in bytes; longer bodies are
+/// dropped.
+pub const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
 common! {
-    /// A configuration in the operators' own words, with its revision.
+    /// A configuration as the operators wrote it, with its revision.
     pub struct Source {
-        /// Counts accepted changes from 1; 0 before the first.
+        /// Number of accepted changes, from 1; 0 before the first.
         pub revision: u64,
         /// The base file.
         pub base: SourceFile,
-        /// One file for each site, sorted by name.
+        /// The overlay files, one for each site, sorted by name.
         pub overlays: Vec<SourceFile>,
     }
 }
 
-/// Everything that the log has decided so far.
+/// The state that results from the applied part of the log.
 #[derive(Debug, Default)]
 pub struct Ledger {
     source: Option<Source>,
@@ -75,12 +77,12 @@
     order_sequence: u64,
     pruned_at: u64,
     plan: Option<PutPlan>,
-    /// Sorted by window.
+    /// Usage records, sorted by window.
     usage: Vec<RecordUsage>,
 }
 
 impl Ledger {
-    /// Restores what [`Ledger::encode`] gave; `None` when it isn't that.
+    /// Decodes the output of [`Ledger::encode`]; `None` if it is invalid.
     pub fn decode(bytes: &[u8]) -> Option<Ledger> {
         let state = LedgerState::decode(bytes).ok()?;
         let source = state.base.map(|base| Source {
@@ -102,7 +104,7 @@
         })
     }
 
-    /// The whole state, for a snapshot.
+    /// Encodes the whole state, for a snapshot.
     pub fn encode(&self) -> Vec<u8> {
         let source = self.source.clone();
         let (base, overlays) = match source {
@@ -126,27 +128,28 @@
         .encode_to_vec()
     }
 
-    /// The revision in the log, 0 before the first configuration.
+    /// Returns the revision of the configuration, 0 before the first one.
     pub fn revision(&self) -> u64 {
         self.source.as_ref().map_or(0, |source| source.revision)
     }
 
-    /// The configuration as its operators wrote it.
+    /// Returns the configuration as the operators wrote it.
     pub fn source(&self) -> Option<&Source> {
         self.source.as_ref()
     }
 
-    /// Grows with each endpoint that joins or departs.
+    /// Returns a number that grows when an endpoint joins, changes or departs.
     pub fn fleet_version(&self) -> u64 {
         self.fleet_version
     }
 
-    /// All endpoints, departed ones for a while too, sorted by id.
+    /// Returns all endpoints sorted by id, with the departed ones that are
+    /// still retained.
     pub fn endpoints(&self) -> &[EndpointRecord] {
         &self.endpoints
     }
 
-    /// Endpoints that may be given work, sorted by id.
+    /// Returns the endpoints that have not departed, sorted by id.
     pub fn live_endpoints(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints
             .iter()
@@ -154,27 +157,27 @@
             .filter_map(|record| record.endpoint.as_ref())
     }
 
-    /// The newest order to each endpoint, sorted by endpoint.
+    /// Returns the newest order to each endpoint, sorted by endpoint.
     pub fn orders(&self) -> &[OrderRecord] {
         &self.orders
     }
 
-    /// The gateway plan with the highest version.
+    /// Returns the gateway plan with the highest version.
     pub fn plan(&self) -> Option<&PutPlan> {
         self.plan.as_ref()
     }
 
-    /// The version of the gateway plan, 0 before the first.
+    /// Returns the version of the gateway plan, 0 before the first one.
     pub fn plan_version(&self) -> u64 {
         self.plan.as_ref().map_or(0, |plan| plan.version)
     }
 
-    /// How many claims are kept.
-    pub fn claims(&self) -> usize {
+    /// Returns the number of claims held.
+    pub fn claim_count(&self) -> usize {
         self.claims.len()
     }
 
-    /// What is known of a claimed request.
+    /// Returns the state of a claim.
     pub fn claim(&self, key: &str) -> ClaimOutcome {
         match self.find_claim(key) {
             Ok(at) => describe_claim(&self.claims[at]),
@@ -185,7 +188,7 @@
         }
     }
 
-    /// Applies one entry; the same entries give the same outcomes anywhere.
+    /// Applies one entry; the outcome is the same on every member.
     pub fn apply(&mut self, entry: &LogEntry) -> Outcome {
         let kind = match Change::decode(entry.payload.as_slice()) {
             Ok(change) => {
@@ -211,7 +214,7 @@
                 outcome::Kind::Apply(self.apply_config(apply))
             }
             change::Kind::Claim(claim) => {
-                outcome::Kind::Claim(self.take_claim(at_ms, claim))
+                outcome::Kind::Claim(self.apply_claim(at_ms, claim))
             }
             change::Kind::Settle(settle) => {
                 outcome::Kind::Claim(self.settle(settle))
@@ -223,7 +226,7 @@
                 outcome::Kind::Endpoint(self.depart(at_ms, depart))
             }
             change::Kind::Order(order) => {
-                outcome::Kind::Order(self.order(entry.term, order))
+                outcome::Kind::Order(self.issue_order(entry.term, order))
             }
             change::Kind::PutPlan(plan) => {
                 outcome::Kind::Plan(self.put_plan(plan))
@@ -250,8 +253,8 @@
             record.change_id.as_str()
         });
         let at = match known {
-            // The id decides before the revision: the answer to the first
-            // sending may be lost, and its revision is stale by now.
+            // The id is checked before the revision: the answer to the first
+            // proposal may have been lost, and its revision is stale by now.
             Ok(at) if self.applied[at].digest == digest => {
                 let revision = self.applied[at].revision;
                 return answer(Result::Accepted, revision, Vec::new());
@@ -268,7 +271,7 @@
         }
         let base = apply.base.unwrap_or_default();
         let mut overlays = apply.overlays;
-        overlays.sort_by(|one, other| one.name.cmp(&other.name));
+        overlays.sort_by(|left, right| left.name.cmp(&right.name));
         if let Err(errors) = config::check(&base, &overlays) {
             let errors = errors.iter().map(ToString::to_string).collect();
             return answer(Result::Invalid, revision, errors);
@@ -280,10 +283,10 @@
         answer(Result::Accepted, revision, Vec::new())
     }
 
-    /// Takes a plan if its version is higher than the one held.
+    /// Stores a plan if its version is higher than that of the current plan.
     ///
-    /// A version that is not higher changes nothing, whatever it holds: so a
-    /// change that is sent again, or overtaken by another, is harmless.
+    /// A plan whose version is not higher has no effect, so a plan that is
+    /// sent again or arrives after a newer one is harmless.
     fn put_plan(&mut self, plan: PutPlan) -> PlanOutcome {
         if plan.version > self.plan_version() {
             self.plan = Some(plan);
@@ -291,14 +294,18 @@
         PlanOutcome { version: self.plan_version() }
     }
 
-    /// Keeps the first figure of a window; later ones get that one back.
+    /// Records the usage of a window.
+    ///
+    /// The first record of a window is kept; later records of the same window
+    /// return the first one.
     fn record_usage(&mut self, usage: RecordUsage) -> UsageOutcome {
-        let at = position(&self.usage, &usage.window, |one| &one.window);
+        let at = position(&self.usage, &usage.window, |record| &record.window);
         let recorded = match at {
             Ok(at) => self.usage[at].clone(),
             Err(at) => {
                 self.usage.insert(at, usage.clone());
-                let excess = self.usage.len().saturating_sub(USAGE_WINDOWS);
+                let excess =
+                    self.usage.len().saturating_sub(MAX_USAGE_WINDOWS);
                 self.usage.drain(..excess);
                 usage
             }
@@ -308,7 +315,7 @@
 
     // ---- Claims -------------------------------------------------------------
 
-    fn take_claim(&mut self, at_ms: u64, claim: Claim) -> ClaimOutcome {
+    fn apply_claim(&mut self, at_ms: u64, claim: Claim) -> ClaimOutcome {
         match self.find_claim(&claim.key) {
             Ok(at) if self.claims[at].digest != claim.digest => ClaimOutcome {
                 state: claim_outcome::State::Mismatch as i32,
@@ -342,17 +349,18 @@
         };
         let record = &mut self.claims[at];
         if settle.released {
-            // A release that comes after an answer is an owner's late
-            // resending; the answer stands.
+            // A release after an answer is a late retransmission by the
+            // owner; the answer is kept.
             if record.answer.is_none() {
                 self.claims.remove(at);
             }
             return self.claim(&settle.key);
         }
         let known = record.answer.as_ref().map_or(0, |old| old.verdict);
-        let new = settle.answer.map(bounded_answer);
-        // What is known only grows: "ran" replaces "may have run", which an
-        // owner records when an endpoint went silent, and never the reverse.
+        let new = settle.answer.map(truncate_answer);
+        // A verdict only gets more certain: "ran" replaces "may have run",
+        // which an owner records when an endpoint does not answer, and never
+        // the reverse.
         if record.answer.is_none()
             || new.as_ref().is_some_and(|new| new.verdict > known)
         {
@@ -375,8 +383,9 @@
                 .endpoint
                 .as_ref()
                 .map_or(0, |endpoint| endpoint.incarnation);
-            // A late heartbeat of an endpoint that said it leaves must not
-            // bring it back: it would be given work that it then drops.
+            // A late heartbeat of an endpoint that announced its departure
+            // must not re-register it: the endpoint would drop the requests
+            // sent to it.
             if old == endpoint.incarnation && record.leaving {
                 return endpoint_outcome(endpoint_outcome::Result::Departed);
             }
@@ -419,7 +428,7 @@
         endpoint_outcome(endpoint_outcome::Result::Ok)
     }
 
-    fn order(&mut self, term: u64, order: IssueOrder) -> OrderOutcome {
+    fn issue_order(&mut self, term: u64, order: IssueOrder) -> OrderOutcome {
         self.order_sequence += 1;
         let sequence = self.order_sequence;
         let record = OrderRecord { sequence, term, order: Some(order) };
@@ -435,7 +444,8 @@
 
     // ---- Retention ------------------------------------------------------------
 
-    /// Drops what is past its time, at most once a minute of log time.
+    /// Removes records past their retention period, at most once per minute
+    /// of the time in the log.
     fn prune(&mut self, now: u64) {
         if now < self.pruned_at + 60_000 {
             return;
@@ -468,18 +478,18 @@
     }
 }
 
-fn bounded_answer(mut answer: Answer) -> Answer {
-    if answer.body.len() > ANSWER_LIMIT {
+fn truncate_answer(mut answer: Answer) -> Answer {
+    if answer.body.len() > MAX_ANSWER_BYTES {
         answer.body.clear();
         answer.truncated = true;
     }
     answer
 }
 
-/// A digest of what a change would put in force, whatever its file order.
+/// Returns a digest of the files of a change, independent of their order.
 fn content_digest(apply: &ApplyConfig) -> Vec<u8> {
     let mut overlays: Vec<&SourceFile> = apply.overlays.iter().collect();
-    overlays.sort_by(|one, other| one.name.cmp(&other.name));
+    overlays.sort_by(|left, right| left.name.cmp(&right.name));
     let mut hasher = Sha256::new();
     for file in apply.base.iter().chain(overlays) {
         hasher.update((file.name.len() as u64).to_le_bytes());
--- a/src/control/member.rs
+++ b/src/control/member.rs
@@ -1,15 +1,17 @@
 //! One control member: the thread that drives log, disk and ledger.
 //!
-//! Commands come in through a channel. Each round takes all that are waiting,
-//! steps the [`raft::Node`](super::raft::Node), makes the result last with a
-//! single sync (group commit), sends messages, applies what is committed, and
-//! only then answers. The thread owns everything, so nothing is locked.
+//! Commands arrive through a channel. Each round takes a batch of waiting
+//! commands, steps the [`raft::Node`](super::raft::Node), persists the output
+//! with a single sync (group commit), sends messages, applies committed
+//! entries, and then answers. The thread owns all of its state, so it needs no
+//! locks.
 //!
-//! # Pitfalls
+//! # Disk errors
 //!
-//! A failed write or sync ends the thread with an error, and the process with
-//! it. Going on would mean to acknowledge what may not be on the disk: after
-//! a failed sync the kernel may have thrown the pages away, and the next sync
+//! A failed write or sync ends the thread with an error. The process exits
+//! too, unless the member is a [dynamic](super::seat) one, which restarts.
+//! Continuing could acknowledge data that is not on the disk: after a failed
+//! sync the kernel may have dropped the dirty pages, and the next sync
 //! succeeds without them.
 
 use std::{collections::VecDeque, sync::Arc};
@@ -34,59 +36,75 @@
     },
 };
 
-/// How many commands one round takes at most.
-const COMMANDS_PER_ROUND: usize = 1024;
-/// How long a sync with nothing new is held back, in ms.
-const SYNC_HOLD_MS: u64 = 500;
-/// A leader answers syncs while a majority confirmed it this recently.
+/// Maximum number of commands in one round.
+const MAX_COMMANDS_PER_ROUND: usize = 1024;
+/// Time that the leader holds a sync without changes before it answers, in
+/// ms.
+const MAX_SYNC_HOLD_MS: u64 = 500;
+/// Time after a majority confirmed the leader during which it answers syncs,
+/// in ms.
 ///
-/// With [`ENTRY_LEASE_MS`] it bounds how long an entry can run on an old
-/// configuration that a cut-off leader gave it.
+/// Together with [`ENTRY_LEASE_MS`] it bounds the time during which an entry
+/// can use an old configuration that it got from a partitioned leader.
 const QUORUM_LEASE_MS: u64 = 1000;
-/// A leader acts for the whole system while a majority confirmed it this
-/// recently: well below the shortest election, so that it has stopped before
-/// another one can lead.
+/// Time after a majority confirmed the leader during which it acts for the
+/// whole system, in ms.
+///
+/// Well below the minimum election timeout, so that the leader stops before
+/// another member can be elected.
 const OFFICE_LEASE_MS: u64 = 500;
-/// After a commit, how long until it is written down by itself, in ms: the
-/// next entry, if one comes, carries it for free.
-const COMMIT_NOTE_MS: u64 = 200;
-
-/// Members that a leader has not heard for so long are named when it stops
-/// leading, in ms: three heartbeats.
-const UNHEARD_MS: u64 = 450;
-/// A tick that comes so much later than the one before is worth a line, in
-/// ms: half of the shortest election.
-const LATE_TICK_MS: u64 = 500;
-
-/// A log of so many bytes is replaced by a snapshot, however few its entries:
-/// with its copy in memory a twentieth of the smallest VM, and with the files
-/// that are written anew well below its disk of 64 MB.
-const LOG_BYTES: u64 = 8_000_000;
-/// Unless it is less than so many times what the last snapshot left: a state
-/// of some megabytes would be written anew for each entry.
-const LOG_GROWTH: u64 = 3;
-
-/// How a proposal or a read failed.
+/// Time after which an unchanged commit index is persisted on its own, in ms.
+///
+/// The next log entry, if one arrives earlier, persists it without an extra
+/// write.
+const COMMIT_PERSIST_DELAY_MS: u64 = 200;
+
+/// Time without an answer after which a leader lists a member as unheard, in
+/// ms.
+///
+/// Three heartbeat intervals. The list is logged when the leader loses its
+/// leadership.
+const UNHEARD_THRESHOLD_MS: u64 = 450;
+/// Time between two ticks above which the delay is logged, in ms.
+///
+/// Half of the minimum election timeout.
+const TICK_DELAY_WARNING_MS: u64 = 500;
+
+/// Log size at which the log is compacted into a snapshot, in bytes,
+/// regardless of the number of entries.
+///
+/// With its copy in memory, the log uses a twentieth of the smallest VM's
+/// memory. With the files that compaction rewrites, it stays well below that
+/// VM's disk of 64 MB.
+const COMPACTION_LOG_BYTES: u64 = 8_000_000;
+/// Minimum ratio of the log size to the size of the last snapshot at which the
+/// log is compacted because of its size.
+///
+/// Without it, a state of some megabytes would be rewritten for each entry.
+const COMPACTION_SNAPSHOT_FACTOR: u64 = 3;
+
+/// An error of a proposal, a read or a sync.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Nothing was appended; the leader may be at this address.
+    /// Nothing was appended. The address is that of the leader, if known.
     NotLeader(Option<String>),
-    /// It was appended, but this member no longer leads: it may yet happen.
+    /// The change was appended, but this member no longer leads; the change
+    /// may still be committed.
     Unknown,
 }
 
 type Answer<T> = oneshot::Sender<Result<T, Failure>>;
 
-/// What others may know of a member without asking it.
+/// The state that a member publishes to the rest of its process.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// The current term.
     pub term: u64,
-    /// The leader's id, as far as known.
+    /// The leader's id, if known.
     pub leader: Option<u64>,
     /// Whether this member leads.
     pub leads: bool,
-    /// Whether a leader was heard lately.
+    /// Whether a leader was heard within the last election timeout.
     pub hears_leader: bool,
     /// The newest gateway plan that is known to be committed.
     pub plan: Option<Arc<PutPlan>>,
@@ -94,57 +112,57 @@
 
 common! {
     copy
-    /// A leader's right to act for the whole system, at one moment.
+    /// A leader's right to act for the whole system, at one point in time.
     pub struct Office {
-        /// The leader's term: the fencing number.
+        /// The leader's term, used as fencing token.
         pub term: u64,
-        /// For how long it has led, in ms.
+        /// Time since the member became leader, in ms.
         pub held_ms: u64,
-        /// Nobody has led before it: it founded the cluster, and this is the
-        /// first time that it leads.
+        /// Whether the cluster has had no leader before: the member started
+        /// the cluster and leads for the first time.
         pub is_first: bool,
     }
 }
 
-/// How a member that finds the others by itself keeps its place.
+/// Settings of a dynamic member, whose peers are not in its settings file.
 #[derive(Clone, Debug)]
 pub struct Seat {
-    /// Where the other members reach this one.
+    /// The address at which other members reach this member.
     pub address: String,
-    /// Voters without which nothing is accepted in a new cluster.
+    /// Number of voters below which a new cluster accepts no plan.
     pub least_voters: usize,
-    /// Whether this process made the cluster.
+    /// Whether this process started the cluster.
     pub founded: bool,
-    /// Where the view is kept up to date.
+    /// The channel on which the member publishes its view.
     pub view: watch::Sender<View>,
 }
 
-/// What the thread can be asked to do.
+/// A command to the member's thread.
 #[derive(Debug)]
 pub enum Command {
-    /// Time has passed.
+    /// Advance the clock to this time, in ms.
     Tick(u64),
-    /// Messages from other members.
+    /// Receive messages from other members.
     Deliver(Vec<Envelope>),
-    /// Put a change through the log.
+    /// Propose a change to the log.
     Propose(Box<Change>, Answer<Outcome>),
-    /// Read through the quorum.
+    /// Answer a query with a linearizable read.
     Read(Query, Answer<QueryReply>),
-    /// An entry's heartbeat.
+    /// Answer the sync of an entry.
     Sync(Box<SyncRequest>, Answer<SyncReply>),
-    /// Who this is, and whether it knows of a cluster.
+    /// Return the member's identity and whether its log is empty.
     Probe(oneshot::Sender<(Identity, bool)>),
-    /// Make the first member list; only after all were probed.
+    /// Write the first member list; only after all members were probed.
     Bootstrap(Vec<Member>),
-    /// Whether this member may act for the whole system now.
+    /// Return the leadership if this member may act for the whole system now.
     Office(oneshot::Sender<Option<Office>>),
-    /// Ask the member of this id to be taken in.
+    /// Ask the member with this id to add this member to the cluster.
     Join(u64),
-    /// End the thread.
+    /// Stop the thread.
     Stop,
 }
 
-struct Held {
+struct HeldSync {
     until: u64,
     request: SyncRequest,
     answer: Answer<SyncReply>,
@@ -152,15 +170,15 @@
 
 struct PendingRead {
     token: u64,
-    what: Pending,
+    request: ReadRequest,
 }
 
-enum Pending {
+enum ReadRequest {
     Query(Query, Answer<QueryReply>),
     Sync(Box<SyncRequest>, Answer<SyncReply>),
 }
 
-/// Everything that the thread owns.
+/// The state of a member's thread.
 pub struct Thread {
     node: Node,
     disk: Disk,
@@ -170,29 +188,31 @@
     now: u64,
     applied: u64,
     roster: Option<Roster>,
-    waiting: VecDeque<(u64, u64, Answer<Outcome>)>,
-    reads: Vec<PendingRead>,
+    pending_proposals: VecDeque<(u64, u64, Answer<Outcome>)>,
+    pending_reads: Vec<PendingRead>,
     next_token: u64,
-    held: Vec<Held>,
-    departing: Vec<Depart>,
-    departing_at: u64,
-    membership_at: u64,
+    held_syncs: Vec<HeldSync>,
+    proposed_departures: Vec<Depart>,
+    departures_cleared_at: u64,
+    next_membership_at: u64,
     seat: Option<Seat>,
-    /// When this member began to lead.
-    leads_since: u64,
-    /// Whom a leader has not heard lately, and for how long, in ms; the last
-    /// it knew before it stopped leading says why it did.
+    /// Time when this member became leader, in ms.
+    leader_since: u64,
+    /// Members that do not answer the leader, with the time since their last
+    /// answer in ms. The last list before a loss of leadership shows its
+    /// cause.
     unheard: Vec<(String, u64)>,
-    /// How often it has begun to lead since its process started.
+    /// Number of times that this member became leader since its thread
+    /// started.
     times_led: u32,
-    /// The commit index on the disk.
-    commit_noted: u64,
-    /// The commit index, and since when it is that.
-    commit_seen: (u64, u64),
+    /// The commit index on disk.
+    persisted_commit: u64,
+    /// The current commit index, and the time in ms when it was first seen.
+    last_commit: (u64, u64),
 }
 
 impl Thread {
-    /// Puts the parts together; the ledger starts from the snapshot.
+    /// Creates the state of a thread; the ledger starts from the snapshot.
     pub fn open(
         node: Node,
         disk: Disk,
@@ -201,7 +221,7 @@
         send: Box<dyn Fn(Vec<Envelope>) + Send>,
     ) -> Thread {
         let ledger = snapshot.and_then(Ledger::decode).unwrap_or_default();
-        // The rest of what is committed is handed out in the first round.
+        // The first round applies the other committed entries.
         let applied = node.snapshot_index();
         Thread {
             node,
@@ -212,56 +232,57 @@
             now: 0,
             applied,
             roster: None,
-            waiting: VecDeque::new(),
-            reads: Vec::new(),
+            pending_proposals: VecDeque::new(),
+            pending_reads: Vec::new(),
             next_token: 1,
-            held: Vec::new(),
-            departing: Vec::new(),
-            departing_at: 0,
-            membership_at: 0,
+            held_syncs: Vec::new(),
+            proposed_departures: Vec::new(),
+            departures_cleared_at: 0,
+            next_membership_at: 0,
             seat: None,
-            leads_since: 0,
+            leader_since: 0,
             unheard: Vec::new(),
             times_led: 0,
-            commit_noted: 0,
-            commit_seen: (0, 0),
+            persisted_commit: 0,
+            last_commit: (0, 0),
         }
     }
 
-    /// Keeps a place in a cluster whose members find each other.
+    /// Makes this member a dynamic one.
     pub fn with_seat(mut self, seat: Seat) -> Thread {
         self.node.set_min_healthy_voters(seat.least_voters);
         self.seat = Some(seat);
         self
     }
 
-    /// Runs until told to stop, or until the disk fails.
+    /// Runs until it receives [`Command::Stop`], the channel closes or the
+    /// disk fails.
     pub fn run(
         mut self,
         mut commands: mpsc::Receiver<Command>,
     ) -> Result<(), disk::Error> {
-        let mut round = Vec::with_capacity(COMMANDS_PER_ROUND);
+        let mut batch = Vec::with_capacity(MAX_COMMANDS_PER_ROUND);
         loop {
             let Some(first) = commands.blocking_recv() else {
                 return Ok(());
             };
-            round.push(first);
-            while round.len() < COMMANDS_PER_ROUND
+            batch.push(first);
+            while batch.len() < MAX_COMMANDS_PER_ROUND
                 && let Ok(more) = commands.try_recv()
             {
-                round.push(more);
+                batch.push(more);
             }
-            for command in round.drain(..) {
+            for command in batch.drain(..) {
                 if matches!(command, Command::Stop) {
                     return Ok(());
                 }
-                self.take(command);
+                self.handle(command);
             }
-            self.settle_round()?;
+            self.finish_round()?;
         }
     }
 
-    fn take(&mut self, command: Command) {
+    fn handle(&mut self, command: Command) {
         match command {
             Command::Tick(now) => self.tick(now),
             Command::Deliver(messages) => {
@@ -273,7 +294,7 @@
                 self.propose(*change, answer);
             }
             Command::Read(query, answer) => {
-                self.read(Pending::Query(query, answer));
+                self.read(ReadRequest::Query(query, answer));
             }
             Command::Sync(request, answer) => self.sync(*request, answer),
             Command::Probe(answer) => {
@@ -281,7 +302,7 @@
                 let _ = answer.send((self.node.identity(), empty));
             }
             Command::Bootstrap(members) => {
-                info!(target: "control", "Starts a new cluster.");
+                info!(target: "control", "Starting a new cluster.");
                 self.node.bootstrap(members);
             }
             Command::Office(answer) => {
@@ -296,7 +317,7 @@
         if !self.node.holds_quorum(self.now, OFFICE_LEASE_MS) {
             return None;
         }
-        let held_ms = self.now.saturating_sub(self.leads_since);
+        let held_ms = self.now.saturating_sub(self.leader_since);
         let founded = self.seat.as_ref().is_some_and(|seat| seat.founded);
         let is_first = founded && self.times_led == 1;
         Some(Office { term: self.node.term(), held_ms, is_first })
@@ -304,18 +325,18 @@
 
     fn join(&mut self, leader: u64) {
         let Some(seat) = &self.seat else { return };
-        let heard = self.node.hears_leader(self.now);
-        if !heard && leader != self.node.identity().id {
+        let hears_leader = self.node.hears_leader(self.now);
+        if !hears_leader && leader != self.node.identity().id {
             self.node.request_join(leader, seat.address.clone());
         }
     }
 
-    /// True while a new cluster has too few voters to accept anything.
+    /// Returns true while a new cluster has too few voters to accept a plan.
     ///
-    /// What one disk alone acknowledged is lost with that disk.
-    fn is_too_young(&self) -> bool {
+    /// A plan acknowledged by one disk alone is lost with that disk.
+    fn lacks_voters(&self) -> bool {
         let Some(seat) = &self.seat else { return false };
-        let voters = self.node.members().iter().filter(|one| one.voter);
+        let voters = self.node.members().iter().filter(|member| member.voter);
         self.ledger.plan_version() == 0 && voters.count() < seat.least_voters
     }
 
@@ -325,41 +346,44 @@
             && let (Some(roster), Some(endpoint)) =
                 (&mut self.roster, &announce.endpoint)
         {
-            roster.renew(self.now, endpoint);
+            roster.renew_lease(self.now, endpoint);
         }
         if let Some(change::Kind::PutPlan(plan)) = &mut change.kind {
-            if self.is_too_young() {
+            if self.lacks_voters() {
                 let _ = answer.send(Err(Failure::NotLeader(None)));
                 return;
             }
             if plan.version <= self.ledger.plan_version() {
-                // It changes nothing, and is sent again for hours; an entry
-                // without the text proves as well that this member leads.
+                // The plan has no effect, and callers resend it for hours. An
+                // entry without the text proves this member's leadership as
+                // well.
                 plan.source.clear();
             }
         }
         let term = self.node.term();
         match self.node.propose(self.now, change.encode_to_vec()) {
-            Ok(index) => self.waiting.push_back((index, term, answer)),
+            Ok(index) => {
+                self.pending_proposals.push_back((index, term, answer))
+            }
             Err(refusal) => {
-                let _ = answer.send(Err(self.failure(refusal)));
+                let _ = answer.send(Err(self.to_failure(refusal)));
             }
         }
     }
 
-    fn read(&mut self, what: Pending) {
+    fn read(&mut self, request: ReadRequest) {
         let token = self.next_token;
         self.next_token += 1;
         match self.node.start_read(self.now, token) {
-            Ok(()) => self.reads.push(PendingRead { token, what }),
+            Ok(()) => self.pending_reads.push(PendingRead { token, request }),
             Err(refusal) => {
-                let failure = self.failure(refusal);
-                refuse_read(what, failure);
+                let failure = self.to_failure(refusal);
+                refuse_read(request, failure);
             }
         }
     }
 
-    fn failure(&self, refusal: Refusal) -> Failure {
+    fn to_failure(&self, refusal: Refusal) -> Failure {
         match refusal {
             Refusal::NotLeader { leader } => {
                 let address = leader
@@ -380,25 +404,25 @@
     fn sync(&mut self, request: SyncRequest, answer: Answer<SyncReply>) {
         if !self.node.holds_quorum(self.now, QUORUM_LEASE_MS) {
             let refusal = Refusal::NotLeader { leader: self.node.leader() };
-            let _ = answer.send(Err(self.failure(refusal)));
+            let _ = answer.send(Err(self.to_failure(refusal)));
             return;
         }
         if let Some(roster) = &mut self.roster {
-            roster.sync(self.now, &request);
+            roster.record_sync(self.now, &request);
         }
         if request.fresh {
-            self.read(Pending::Sync(Box::new(request), answer));
+            self.read(ReadRequest::Sync(Box::new(request), answer));
             return;
         }
-        if self.has_news(&request) {
+        if self.has_changes(&request) {
             let _ = answer.send(Ok(self.sync_reply(&request)));
             return;
         }
-        let until = self.now + SYNC_HOLD_MS;
-        self.held.push(Held { until, request, answer });
+        let until = self.now + MAX_SYNC_HOLD_MS;
+        self.held_syncs.push(HeldSync { until, request, answer });
     }
 
-    fn has_news(&self, request: &SyncRequest) -> bool {
+    fn has_changes(&self, request: &SyncRequest) -> bool {
         let in_force =
             request.entry.as_ref().map_or(0, |entry| entry.in_force);
         let entries =
@@ -409,19 +433,20 @@
             || request.entries_version != entries
     }
 
-    /// Answers the syncs that have waited long enough or have news.
-    fn release_syncs(&mut self) {
-        let sound = self.node.holds_quorum(self.now, QUORUM_LEASE_MS);
-        for held in std::mem::take(&mut self.held) {
-            if !sound {
+    /// Answers the held syncs that are due or that have changes to report.
+    fn answer_due_syncs(&mut self) {
+        let holds_quorum = self.node.holds_quorum(self.now, QUORUM_LEASE_MS);
+        for held in std::mem::take(&mut self.held_syncs) {
+            if !holds_quorum {
                 let leader = self.node.leader();
-                let failure = self.failure(Refusal::NotLeader { leader });
+                let failure = self.to_failure(Refusal::NotLeader { leader });
                 let _ = held.answer.send(Err(failure));
-            } else if self.now >= held.until || self.has_news(&held.request) {
+            } else if self.now >= held.until || self.has_changes(&held.request)
+            {
                 let reply = self.sync_reply(&held.request);
                 let _ = held.answer.send(Ok(reply));
             } else {
-                self.held.push(held);
+                self.held_syncs.push(held);
             }
         }
     }
@@ -454,7 +479,7 @@
                 .collect();
         }
         if let Some(roster) = &self.roster {
-            reply.settling = roster.settling(self.now);
+            reply.settling = roster.is_settling(self.now);
             reply.entries_version = roster.version();
             reply.loads = roster.loads(self.now);
             if request.entries_version != reply.entries_version {
@@ -468,55 +493,60 @@
 
     fn tick(&mut self, now: u64) {
         let late_ms = now.saturating_sub(self.now);
-        if late_ms > LATE_TICK_MS && self.now > 0 {
-            warn!(target: "control", late_ms, "Member was held up.");
+        if late_ms > TICK_DELAY_WARNING_MS && self.now > 0 {
+            warn!(
+                target: "control",
+                late_ms,
+                "Tick of the member's thread was delayed."
+            );
         }
         self.now = now;
         if self.node.is_leader() {
-            self.unheard = self.node.silent_members(now, UNHEARD_MS);
+            self.unheard = self.node.silent_members(now, UNHEARD_THRESHOLD_MS);
         }
         self.node.tick(now);
         if !self.node.is_leader() {
             return;
         }
-        if now >= self.membership_at
+        if now >= self.next_membership_at
             && let Some(members) = self.node.due_membership(now)
         {
-            self.membership_at = now + 200;
-            info!(target: "control", "Changes members: {members:?}.");
+            self.next_membership_at = now + 200;
+            info!(target: "control", "Proposing members: {members:?}.");
             let _ = self.node.propose_members(now, members);
         }
         self.expire(now);
     }
 
-    /// Puts lapsed leases through the log, each at most once a second.
+    /// Proposes departures for expired leases, each at most once a second.
     fn expire(&mut self, now: u64) {
         let Some(roster) = &mut self.roster else { return };
         roster.expire(now);
-        if now >= self.departing_at + 1000 {
-            self.departing.clear();
-            self.departing_at = now;
-        }
-        let lapsed = roster.lapsed(now, self.ledger.live_endpoints());
-        for depart in lapsed {
-            if self.departing.contains(&depart) {
+        if now >= self.departures_cleared_at + 1000 {
+            self.proposed_departures.clear();
+            self.departures_cleared_at = now;
+        }
+        let expired =
+            roster.expired_endpoints(now, self.ledger.live_endpoints());
+        for depart in expired {
+            if self.proposed_departures.contains(&depart) {
                 continue;
             }
             info!(
                 target: "control",
-                "Endpoint {} was silent for {ENDPOINT_LEASE_MS} ms.",
+                "Lease of endpoint {} expired after {ENDPOINT_LEASE_MS} ms.",
                 depart.id
             );
-            self.departing.push(depart.clone());
+            self.proposed_departures.push(depart.clone());
             let mut change = Change::new(change::Kind::Depart(depart));
             change.at_ms = wall_ms();
             let _ = self.node.propose(now, change.encode_to_vec());
         }
     }
 
-    // ---- The end of a round -------------------------------------------------
+    // ---- End of a round ----------------------------------------------------
 
-    fn settle_round(&mut self) -> Result<(), disk::Error> {
+    fn finish_round(&mut self) -> Result<(), disk::Error> {
         loop {
             let output = self.node.take_output();
             self.persist(&output)?;
@@ -530,31 +560,32 @@
                 break;
             }
         }
-        self.follow_role();
-        self.drop_lost_proposals();
-        self.release_syncs();
-        self.show();
-        self.note_commit()?;
-        self.snapshot()
+        self.update_role();
+        self.fail_lost_proposals();
+        self.answer_due_syncs();
+        self.publish_view();
+        self.persist_commit_index()?;
+        self.compact_log()
     }
 
-    /// Brings the view up to date, and wakes others only if it changed.
-    fn show(&self) {
+    /// Updates the view, and notifies its receivers only if it changed.
+    fn publish_view(&self) {
         let Some(seat) = &self.seat else { return };
         let version = self.ledger.plan_version();
         let hears_leader = self.node.hears_leader(self.now);
         seat.view.send_if_modified(|view| {
-            let shown = view.plan.as_ref().map_or(0, |plan| plan.version);
+            let published_version =
+                view.plan.as_ref().map_or(0, |plan| plan.version);
             let changed = view.term != self.node.term()
                 || view.leader != self.node.leader()
                 || view.leads != self.node.is_leader()
                 || view.hears_leader != hears_leader
-                || shown != version;
+                || published_version != version;
             view.term = self.node.term();
             view.leader = self.node.leader();
             view.leads = self.node.is_leader();
             view.hears_leader = hears_leader;
-            if shown != version {
+            if published_version != version {
                 view.plan = self.ledger.plan().cloned().map(Arc::new);
             }
             changed
@@ -570,31 +601,33 @@
             self.applied = snapshot.index;
             info!(
                 target: "control",
-                "Took a snapshot up to {}.", snapshot.index
+                "Installed a snapshot up to index {}.", snapshot.index
             );
             return Ok(());
         }
         if output.hard_state.is_some() || !output.entries.is_empty() {
             let hard = Some(self.node.hard_state());
             self.disk.append(hard, output.entries.clone())?;
-            self.commit_noted = self.node.commit_index();
+            self.persisted_commit = self.node.commit_index();
         }
         Ok(())
     }
 
-    /// Writes down what is committed, once it has been at rest for a moment.
+    /// Persists the commit index once it is unchanged for
+    /// [`COMMIT_PERSIST_DELAY_MS`].
     ///
-    /// After all members have lost power at once, each can then serve by what
-    /// it knows to be committed, before anybody has been elected.
-    fn note_commit(&mut self) -> Result<(), disk::Error> {
+    /// After a power failure of all members, each member can then serve from
+    /// its committed state before a leader is elected.
+    fn persist_commit_index(&mut self) -> Result<(), disk::Error> {
         let commit = self.node.commit_index();
-        if commit != self.commit_seen.0 {
-            self.commit_seen = (commit, self.now);
+        if commit != self.last_commit.0 {
+            self.last_commit = (commit, self.now);
         }
-        let rested = self.now >= self.commit_seen.1 + COMMIT_NOTE_MS;
-        if self.seat.is_some() && rested && commit > self.commit_noted {
+        let is_stable =
+            self.now >= self.last_commit.1 + COMMIT_PERSIST_DELAY_MS;
+        if self.seat.is_some() && is_stable && commit > self.persisted_commit {
             self.disk.append(Some(self.node.hard_state()), Vec::new())?;
-            self.commit_noted = commit;
+            self.persisted_commit = commit;
         }
         Ok(())
     }
@@ -620,47 +653,56 @@
     }
 
     fn answer_proposal(&mut self, entry: &LogEntry, outcome: Outcome) {
-        while let Some((index, term, _)) = self.waiting.front() {
+        while let Some((index, term, _)) = self.pending_proposals.front() {
             if *index > entry.index {
                 return;
             }
-            let same = *index == entry.index && *term == entry.term;
-            let Some((_, _, answer)) = self.waiting.pop_front() else {
+            let is_same_entry = *index == entry.index && *term == entry.term;
+            let Some((_, _, answer)) = self.pending_proposals.pop_front()
+            else {
                 return;
             };
-            let result =
-                if same { Ok(outcome.clone()) } else { Err(Failure::Unknown) };
+            let result = if is_same_entry {
+                Ok(outcome.clone())
+            } else {
+                Err(Failure::Unknown)
+            };
             let _ = answer.send(result);
         }
     }
 
     fn answer_reads(&mut self, ready: Vec<u64>, refused: Vec<u64>) {
-        for read in std::mem::take(&mut self.reads) {
+        for read in std::mem::take(&mut self.pending_reads) {
             if ready.contains(&read.token) {
-                match read.what {
-                    Pending::Query(query, answer) => {
+                match read.request {
+                    ReadRequest::Query(query, answer) => {
                         let _ = answer.send(Ok(self.query(&query)));
                     }
-                    Pending::Sync(request, answer) => {
+                    ReadRequest::Sync(request, answer) => {
                         let reply = self.sync_reply(&request);
                         let _ = answer.send(Ok(reply));
                     }
                 }
             } else if refused.contains(&read.token) {
-                refuse_read(read.what, Failure::NotLeader(None));
+                refuse_read(read.request, Failure::NotLeader(None));
             } else {
-                self.reads.push(read);
+                self.pending_reads.push(read);
             }
         }
     }
 
-    /// Starts and drops what only a leader has.
-    fn follow_role(&mut self) {
+    /// Creates the roster when this member becomes leader, and drops it when
+    /// the member loses leadership.
+    fn update_role(&mut self) {
         match (self.node.is_leader(), &self.roster) {
             (true, None) => {
-                info!(target: "control", "Leads term {}.", self.node.term());
+                info!(
+                    target: "control",
+                    "Became leader of term {}.",
+                    self.node.term()
+                );
                 let seed = self.node.term();
-                self.leads_since = self.now;
+                self.leader_since = self.now;
                 self.times_led += 1;
                 self.roster = Some(Roster::open(self.now, seed));
             }
@@ -669,7 +711,7 @@
                     target: "control",
                     term = self.node.term(),
                     unheard = ?self.unheard,
-                    "No longer leads."
+                    "Lost leadership."
                 );
                 self.roster = None;
             }
@@ -677,19 +719,19 @@
         }
     }
 
-    fn drop_lost_proposals(&mut self) {
+    fn fail_lost_proposals(&mut self) {
         if self.node.is_leader() {
             return;
         }
-        // They may yet be committed by the next leader: their callers must
-        // be told "unknown", never "not run".
-        for (_, _, answer) in self.waiting.drain(..) {
+        // The next leader may still commit these proposals, so the answer is
+        // "unknown", never "not run".
+        for (_, _, answer) in self.pending_proposals.drain(..) {
             let _ = answer.send(Err(Failure::Unknown));
         }
     }
 
-    fn snapshot(&mut self) -> Result<(), disk::Error> {
-        if !self.is_log_long() {
+    fn compact_log(&mut self) -> Result<(), disk::Error> {
+        if !self.should_compact_log() {
             return Ok(());
         }
         let hard = self.node.hard_state();
@@ -701,14 +743,15 @@
         self.disk.install(&snapshot, hard, entries)
     }
 
-    /// True when the log has too many entries, or too many bytes.
+    /// Returns true when the log has too many entries or too many bytes.
     ///
-    /// Entries alone don't tell: a hundred plans of a megabyte are more than
-    /// the disk of a VM holds, and half of its memory.
-    fn is_log_long(&self) -> bool {
-        let least = LOG_BYTES.max(LOG_GROWTH * self.disk.snapshot_bytes());
+    /// The number of entries is not enough: a hundred plans of a megabyte
+    /// exceed the disk of a VM and use half of its memory.
+    fn should_compact_log(&self) -> bool {
+        let min_bytes = COMPACTION_LOG_BYTES
+            .max(COMPACTION_SNAPSHOT_FACTOR * self.disk.snapshot_bytes());
         self.node.log_len() >= self.snapshot_entries
-            || self.disk.log_bytes() >= least
+            || self.disk.log_bytes() >= min_bytes
     }
 
     // ---- Queries --------------------------------------------------------------
@@ -724,19 +767,20 @@
             Some(query::Kind::Status(_)) => {
                 Some(query_reply::Kind::Status(self.status()))
             }
-            Some(query::Kind::Plan(asked)) => {
-                Some(query_reply::Kind::Plan(self.plan_reply(asked.held)))
+            Some(query::Kind::Plan(plan_query)) => {
+                Some(query_reply::Kind::Plan(self.plan_reply(plan_query.held)))
             }
             None => None,
         };
         QueryReply { kind }
     }
 
-    /// The newest plan, without its text for one that holds it already.
+    /// Returns the newest plan, without its text if its version is `held`.
     ///
-    /// The asker needs to know which plan is the newest, and nodes hold it as
-    /// a rule. With the text in each answer, reading a plan of 0.8 MB took a
-    /// second over a link of ten megabits, longer than operators wait.
+    /// A node that reads the plan needs to know the newest version, and
+    /// usually holds its text already. With the text in each answer, reading a
+    /// plan of 0.8 MB took a second over a link of 10 Mbit/s, longer than
+    /// operators wait.
     fn plan_reply(&self, held: u64) -> PutPlan {
         match self.ledger.plan() {
             Some(plan) if plan.version == held => {
@@ -772,23 +816,23 @@
             entries,
             endpoints: self.ledger.endpoints().to_vec(),
             survivable_losses: self.node.survivable_losses(self.now) as u32,
-            claims: self.ledger.claims() as u64,
+            claims: self.ledger.claim_count() as u64,
             log_entries: self.node.log_len() as u64,
         }
     }
 }
 
-fn refuse_read(what: Pending, failure: Failure) {
-    match what {
-        Pending::Query(_, answer) => {
+fn refuse_read(request: ReadRequest, failure: Failure) {
+    match request {
+        ReadRequest::Query(_, answer) => {
             let _ = answer.send(Err(failure));
         }
-        Pending::Sync(_, answer) => {
+        ReadRequest::Sync(_, answer) => {
             let _ = answer.send(Err(failure));
         }
     }
 }
 
-// Entries must outlive a leader's claim to the quorum, not the reverse: an
-// entry's lease is the longer one, so that a change of leader is no outage.
+// An entry's lease must be longer than the leader's quorum lease, so that a
+// change of leader causes no outage.
 const _: () = assert!(QUORUM_LEASE_MS < ENTRY_LEASE_MS);
--- a/src/control/roster.rs
+++ b/src/control/roster.rs
@@ -1,26 +1,27 @@
-//! What the leader knows without the log: who is there right now.
+//! The leader's state outside the log: live entries, endpoint leases, loads.
 //!
-//! Entries and endpoint leases come and go with every heartbeat, too often to
-//! be written down. A [`Roster`] is built anew by each leader from what the
-//! entries send; a new leader is [settling](Roster::settling) until all have
-//! had the time to. Only what has consequences is put through the log: that
-//! an endpoint joined, left, or lost its lease.
+//! This state changes with every heartbeat, too often to be replicated. Each
+//! leader builds a new [`Roster`] from the syncs of the entries. A new leader
+//! is [settling](Roster::is_settling) until every entry has had time to sync.
+//! The log records only that an endpoint joined, left or lost its lease.
 
 use crate::{
     util::{common, position, upsert},
     wire::{Depart, Endpoint, EntryInfo, Load, SyncRequest},
 };
 
-/// An entry that has not synced for this long serves nobody, in ms.
+/// Time without a sync after which an entry stops serving, in ms.
 ///
-/// Entries stop by themselves after this time; see `entry::lease`.
+/// Entries enforce it themselves; see `entry::lease`.
 pub const ENTRY_LEASE_MS: u64 = 2000;
-/// A margin for the leader, which must not forget an entry too early.
+/// Time that the leader waits beyond [`ENTRY_LEASE_MS`], in ms, so that it
+/// does not remove an entry that still serves.
 const ENTRY_GRACE_MS: u64 = 500;
-/// An endpoint that no entry heard from for this long is gone, in ms.
+/// Time without a heartbeat at any entry after which an endpoint's lease
+/// expires, in ms.
 pub const ENDPOINT_LEASE_MS: u64 = 3000;
-/// For this long a new leader waits for the entries to report, in ms.
-const SETTLE_MS: u64 = 2500;
+/// Time that a new leader gives the entries to sync, in ms.
+const SETTLING_MS: u64 = 2500;
 
 common! {
     struct EntrySession {
@@ -38,40 +39,41 @@
     }
 }
 
-/// Entries, endpoint leases and loads, as one leader sees them.
+/// Entries, endpoint leases and loads, as known to one leader.
 #[derive(Debug)]
 pub struct Roster {
-    since: u64,
+    elected_at: u64,
     entries: Vec<EntrySession>,
     version: u64,
     renewals: Vec<Renewal>,
 }
 
 impl Roster {
-    /// Starts empty, for a leader elected at `now`.
+    /// Creates an empty roster for a leader elected at `now`.
     ///
-    /// `seed` sets apart the versions of one leader from another's.
+    /// `seed` keeps the versions of different leaders distinct.
     pub fn open(now: u64, seed: u64) -> Roster {
         Roster {
-            since: now,
+            elected_at: now,
             entries: Vec::new(),
             version: seed << 20 | 1,
             renewals: Vec::new(),
         }
     }
 
-    /// True while entries may exist that this leader has not heard yet.
-    pub fn settling(&self, now: u64) -> bool {
-        now < self.since + SETTLE_MS
+    /// Returns true while entries may exist that have not yet synced with this
+    /// leader.
+    pub fn is_settling(&self, now: u64) -> bool {
+        now < self.elected_at + SETTLING_MS
     }
 
-    /// Changes whenever the list of entries does.
+    /// Returns a number that changes whenever the list of entries changes.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Notes what an entry sent.
-    pub fn sync(&mut self, now: u64, request: &SyncRequest) {
+    /// Records a sync of an entry.
+    pub fn record_sync(&mut self, now: u64, request: &SyncRequest) {
         for load in &request.renewed {
             let renewal = Renewal {
                 endpoint: load.endpoint.clone(),
@@ -79,14 +81,18 @@
                 heard_at: now,
                 load: load.clone(),
             };
-            upsert(&mut self.renewals, renewal, |one| one.endpoint.as_str());
+            upsert(&mut self.renewals, renewal, |renewal| {
+                renewal.endpoint.as_str()
+            });
         }
         let Some(info) = &request.entry else { return };
         let session = EntrySession { info: info.clone(), heard_at: now };
-        let old =
-            upsert(&mut self.entries, session, |one| one.info.id.as_str());
+        let old = upsert(&mut self.entries, session, |session| {
+            session.info.id.as_str()
+        });
         let same = old.is_some_and(|old| {
-            // The revision in force does not change who is there.
+            // A change of only the revision in force is not a change of the
+            // entry list.
             EntryInfo { in_force: info.in_force, ..old.info } == *info
         });
         if !same {
@@ -94,7 +100,7 @@
         }
     }
 
-    /// Forgets entries that have been silent for too long.
+    /// Removes entries whose lease and grace period have expired.
     pub fn expire(&mut self, now: u64) {
         let before = self.entries.len();
         self.entries.retain(|session| {
@@ -105,45 +111,48 @@
         }
     }
 
-    /// The entries, sorted by id.
+    /// Returns the entries, sorted by id.
     pub fn entries(&self) -> Vec<EntryInfo> {
         self.entries.iter().map(|session| session.info.clone()).collect()
     }
 
-    /// The newest load that was reported for each endpoint.
+    /// Returns the newest load reported for each endpoint, with its age at
+    /// `now`.
     pub fn loads(&self, now: u64) -> Vec<Load> {
         let aged = self.renewals.iter().map(|renewal| {
-            let held = now.saturating_sub(renewal.heard_at) as u32;
+            let held_ms = now.saturating_sub(renewal.heard_at) as u32;
             let mut load = renewal.load.clone();
-            load.age_ms = load.age_ms.saturating_add(held);
+            load.age_ms = load.age_ms.saturating_add(held_ms);
             load
         });
         aged.collect()
     }
 
-    /// The endpoints among `live` whose lease has run out.
-    pub fn lapsed<'a>(
+    /// Returns the departures of those endpoints in `live` whose lease has
+    /// expired.
+    pub fn expired_endpoints<'a>(
         &self,
         now: u64,
         live: impl Iterator<Item = &'a Endpoint>,
     ) -> Vec<Depart> {
-        // Leases that a former leader granted are not known here: each gets
-        // the full time again, else a change of leader would drop them all.
+        // This leader does not know the leases of the former leader. Each
+        // endpoint gets a full lease from the election on; otherwise a change
+        // of leader would expire all endpoints.
         live.filter(|endpoint| {
             let at =
                 position(&self.renewals, endpoint.id.as_str(), |renewal| {
                     renewal.endpoint.as_str()
                 });
-            let heard = match at {
+            let heard_at = match at {
                 Ok(at)
                     if self.renewals[at].incarnation
                         == endpoint.incarnation =>
                 {
                     self.renewals[at].heard_at
                 }
-                _ => self.since,
+                _ => self.elected_at,
             };
-            now >= heard.max(self.since) + ENDPOINT_LEASE_MS
+            now >= heard_at.max(self.elected_at) + ENDPOINT_LEASE_MS
         })
         .map(|endpoint| Depart {
             id: endpoint.id.clone(),
@@ -154,8 +163,8 @@
         .collect()
     }
 
-    /// Notes that an endpoint has just announced itself.
-    pub fn renew(&mut self, now: u64, endpoint: &Endpoint) {
+    /// Renews the lease of an endpoint that has just announced itself.
+    pub fn renew_lease(&mut self, now: u64, endpoint: &Endpoint) {
         let load = Load {
             endpoint: endpoint.id.clone(),
             incarnation: endpoint.incarnation,
@@ -167,10 +176,12 @@
             heard_at: now,
             load,
         };
-        upsert(&mut self.renewals, renewal, |one| one.endpoint.as_str());
+        upsert(&mut self.renewals, renewal, |renewal| {
+            renewal.endpoint.as_str()
+        });
     }
 
-    /// Drops what is known of endpoints that are gone.
+    /// Removes the leases of the endpoints for which `keep` returns false.
     pub fn retain_endpoints(&mut self, keep: impl Fn(&str, u64) -> bool) {
         self.renewals
             .retain(|renewal| keep(&renewal.endpoint, renewal.incarnation));
--- a/tests/all/ledger.rs
+++ b/tests/all/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger against a naive version: a map that a child could read.
+//! Tests of the ledger, one of them against a simple reference model.
 
 use std::collections::BTreeMap;
 
@@ -56,29 +56,29 @@
         self.ledger.apply(&entry).kind.expect("an outcome")
     }
 
-    /// What a restart from a snapshot does.
+    /// Restores the ledger from its own snapshot, as a restart does.
     fn restart(&mut self) {
         let bytes = self.ledger.encode();
         self.ledger = Ledger::decode(&bytes).expect("own snapshot");
     }
 }
 
-/// Claims as a map from key to owner, digest and answer.
+/// Reference model: claims as a map from key to owner, digest and verdict.
 #[derive(Default)]
-struct Naive {
+struct Model {
     claims: BTreeMap<String, (String, Vec<u8>, Option<u32>)>,
     revision: u64,
     ids: BTreeMap<String, (u64, u64)>,
     left: BTreeMap<(String, u64), bool>,
 }
 
-impl Naive {
+impl Model {
     fn claim(&mut self, claim: &Claim) -> claim_outcome::State {
         use claim_outcome::State;
         match self.claims.get(&claim.key) {
             None => {
-                let kept = (claim.owner.clone(), claim.digest.clone(), None);
-                self.claims.insert(claim.key.clone(), kept);
+                let record = (claim.owner.clone(), claim.digest.clone(), None);
+                self.claims.insert(claim.key.clone(), record);
                 State::Granted
             }
             Some((_, digest, _)) if *digest != claim.digest => State::Mismatch,
@@ -88,17 +88,17 @@
     }
 
     fn settle(&mut self, settle: &Settle) {
-        let Some(kept) = self.claims.get_mut(&settle.key) else { return };
-        if kept.0 != settle.owner {
+        let Some(record) = self.claims.get_mut(&settle.key) else { return };
+        if record.0 != settle.owner {
             return;
         }
-        match (&settle.answer, kept.2) {
+        match (&settle.answer, record.2) {
             (None, None) if settle.released => {
                 self.claims.remove(&settle.key);
             }
-            (Some(answer), None) => kept.2 = Some(answer.verdict),
+            (Some(answer), None) => record.2 = Some(answer.verdict),
             (Some(answer), Some(old)) => {
-                kept.2 = Some(old.max(answer.verdict))
+                record.2 = Some(old.max(answer.verdict))
             }
             _ => {}
         }
@@ -123,11 +123,11 @@
 }
 
 #[test]
-fn ledger_equals_the_naive_version_over_400_histories() {
+fn ledger_matches_the_reference_model_over_400_random_histories() {
     for seed in 0..400 {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut log = Log { ledger: Ledger::default(), index: 0 };
-        let mut naive = Naive::default();
+        let mut model = Model::default();
         for step in 0..200 {
             let key = format!("k{}", rng.random_range(0..6));
             let owner = format!("o{}", rng.random_range(0..3));
@@ -136,10 +136,12 @@
                     let digest = vec![u8::from(rng.random_range(0..8) == 0)];
                     let team = "red".to_owned();
                     let claim = Claim { key, digest, owner, team };
-                    let wanted = naive.claim(&claim);
-                    let got = log.apply(step, change::Kind::Claim(claim));
-                    let outcome::Kind::Claim(got) = got else { panic!() };
-                    assert_eq!(got.state, wanted as i32, "seed {seed}");
+                    let expected = model.claim(&claim);
+                    let actual = log.apply(step, change::Kind::Claim(claim));
+                    let outcome::Kind::Claim(actual) = actual else {
+                        panic!()
+                    };
+                    assert_eq!(actual.state, expected as i32, "seed {seed}");
                 }
                 4..7 => {
                     let released = rng.random_range(0..3) == 0;
@@ -147,40 +149,42 @@
                     let answer = (!released)
                         .then(|| Answer { verdict, ..Answer::default() });
                     let settle = Settle { key, owner, released, answer };
-                    naive.settle(&settle);
+                    model.settle(&settle);
                     log.apply(step, change::Kind::Settle(settle));
                 }
                 7..9 => {
                     let id = format!("c{}", rng.random_range(0..40));
                     let content = rng.random_range(0..3);
-                    let from = naive.revision
+                    let from = model.revision
                         - u64::from(rng.random_range(0..3) == 0)
-                            .min(naive.revision);
-                    let wanted = naive.apply(&id, from, content);
+                            .min(model.revision);
+                    let expected = model.apply(&id, from, content);
                     let change = apply_change(&id, from, content);
-                    let got = log.apply(step, change::Kind::Apply(change));
-                    let outcome::Kind::Apply(got) = got else { panic!() };
-                    let got = (got.result, got.revision);
-                    assert_eq!(got, wanted, "seed {seed} step {step}");
+                    let actual = log.apply(step, change::Kind::Apply(change));
+                    let outcome::Kind::Apply(actual) = actual else {
+                        panic!()
+                    };
+                    let actual = (actual.result, actual.revision);
+                    assert_eq!(actual, expected, "seed {seed} step {step}");
                 }
                 _ => log.restart(),
             }
-            for (key, (owner, _, answer)) in &naive.claims {
-                let got = log.ledger.claim(key);
-                assert_eq!(got.owner, *owner, "seed {seed}");
-                let verdict = got.answer.map(|answer| answer.verdict);
+            for (key, (owner, _, answer)) in &model.claims {
+                let actual = log.ledger.claim(key);
+                assert_eq!(actual.owner, *owner, "seed {seed}");
+                let verdict = actual.answer.map(|answer| answer.verdict);
                 assert_eq!(verdict, *answer, "seed {seed}");
             }
-            assert_eq!(log.ledger.revision(), naive.revision);
+            assert_eq!(log.ledger.revision(), model.revision);
         }
     }
 }
 
-/// Symptom: an operator resends a change whose answer was lost, and is told
-/// that it is stale; or worse, it is applied a second time on top of others.
-/// Sequence: accepted, answer lost, a leader change from a snapshot, hundreds
-/// of changes by others, resent. Cause: the id was kept only in memory, or
-/// the revision was looked at before the id.
+/// Guards against a resent change that is answered as stale or applied a
+/// second time. The change is accepted and its answer lost; hundreds of other
+/// changes and restarts from a snapshot follow; then the operator resends the
+/// change. It fails when change ids are record only in memory, or when the
+/// revision is checked before the id.
 #[test]
 fn a_change_resent_hundreds_of_changes_later_gets_its_first_answer() {
     let mut log = Log { ledger: Ledger::default(), index: 0 };
@@ -193,16 +197,17 @@
             log.restart();
         }
     }
-    let got = log.apply(0, change::Kind::Apply(first));
-    let outcome::Kind::Apply(got) = got else { panic!("not an apply") };
-    assert_eq!(got.result, apply_outcome::Result::Accepted as i32);
-    assert_eq!(got.revision, 1);
+    let actual = log.apply(0, change::Kind::Apply(first));
+    let outcome::Kind::Apply(actual) = actual else { panic!("not an apply") };
+    assert_eq!(actual.result, apply_outcome::Result::Accepted as i32);
+    assert_eq!(actual.revision, 1);
     assert_eq!(log.ledger.revision(), 400);
 }
 
-/// Symptom: an endpoint that said goodbye is given work, and drops it.
-/// Sequence: leave is committed; a heartbeat that was on its way announces
-/// the same incarnation again. Cause: announcing did not look at the mark.
+/// Guards against requests sent to a departed endpoint, which drops them. The
+/// departure is committed; then a delayed heartbeat announces the same
+/// incarnation again. It fails when an announcement ignores the record of the
+/// departure.
 #[test]
 fn a_late_announcement_does_not_revive_an_endpoint_that_left() {
     let mut log = Log { ledger: Ledger::default(), index: 0 };
@@ -226,12 +231,12 @@
         }),
     );
     log.restart();
-    let got = log.apply(0, announce(5));
-    let outcome::Kind::Endpoint(got) = got else { panic!("not one") };
-    assert_eq!(got.result, endpoint_outcome::Result::Departed as i32);
+    let actual = log.apply(0, announce(5));
+    let outcome::Kind::Endpoint(actual) = actual else { panic!("not one") };
+    assert_eq!(actual.result, endpoint_outcome::Result::Departed as i32);
     assert_eq!(log.ledger.live_endpoints().count(), 0);
     // A new incarnation is a new endpoint.
     log.apply(0, announce(6));
     assert_eq!(log.ledger.live_endpoints().count(), 1);
-    let _ = Naive::default().left;
+    let _ = Model::default().left;
 }
