--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,24 +1,24 @@
 //! The control members: a replicated log on the few VMs that have a disk.
 //!
-//! | module | is |
+//! | module | content |
 //! |---|---|
-//! | [`raft`] | the rules of the log, pure |
+//! | [`raft`] | the consensus algorithm, without I/O |
 //! | [`disk`] | the data folder |
-//! | [`ledger`] | the state that the log builds, pure |
-//! | [`roster`] | what the leader knows besides, pure |
-//! | [`member`] | the thread that drives these |
-//! | [`server`] | the services and the links between members |
-//! | [`seat`] | a member whose peers are not in its settings |
-//! | [`client`] | how everybody else reaches them |
+//! | [`ledger`] | the replicated state machine, without I/O |
+//! | [`roster`] | the leader's state that is not replicated, without I/O |
+//! | [`member`] | the thread that drives these modules |
+//! | [`server`] | the gRPC services and the links between members |
+//! | [`seat`] | a dynamic member, whose peers are not in its settings |
+//! | [`client`] | the client that entries and operators use |
 //!
 //! # Starting a cluster
 //!
-//! A member with an empty data folder never votes of its own accord. It asks
-//! all listed members; only when *all* answer and all are empty does the one
-//! with the lowest id write the first member list, with the incarnation of
-//! each. If any of them knows of a cluster already, the empty one waits to be
-//! taken in as a learner. So a VM that lost its disk can't found a second
-//! cluster beside the first.
+//! A member with an empty data folder never starts an election. It probes
+//! all members in its settings. Only when *all* of them answer and all are
+//! empty does the member with the lowest id write the first member list, with
+//! the incarnation of each member. If any member belongs to a cluster
+//! already, the empty member waits until the leader adds it as a learner. A
+//! VM that lost its disk can therefore not start a second cluster.
 
 pub mod client;
 pub mod disk;
@@ -51,15 +51,15 @@
     wire::{Envelope, Member},
 };
 
-/// Commands that may wait for the member's thread.
-const COMMAND_QUEUE: usize = 4096;
+/// Capacity of the command queue of the member's thread.
+const MAX_QUEUED_COMMANDS: usize = 4096;
 
-/// Why a member can't run.
+/// An error that prevents a member from running.
 #[derive(Debug)]
 pub enum Error {
-    /// The data folder can't be used.
+    /// The data folder is unusable.
     Disk(disk::Error),
-    /// The address can't be bound, or a thread can't be started.
+    /// The listen address can't be bound, or the thread can't be started.
     Io(io::Error),
 }
 
@@ -67,7 +67,7 @@
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Error::Disk(error) => write!(out, "data folder: {error}"),
-            Error::Io(error) => write!(out, "can't start: {error}"),
+            Error::Io(error) => write!(out, "can't start member: {error}"),
         }
     }
 }
@@ -94,15 +94,16 @@
     stop: watch::Sender<bool>,
     server: JoinHandle<()>,
     ended: oneshot::Receiver<Result<(), disk::Error>>,
-    // Held so that the timer's task lives as long as the member.
+    // Keeps the timer's task running while the handle exists.
     _timer: Timer,
 }
 
-/// Starts a member.
+/// Starts a control member with the peers from its settings.
 ///
 /// # Errors
 ///
-/// When the data folder can't be used or the address can't be bound.
+/// Returns an error when the data folder is unusable, the address can't be
+/// bound or the thread can't be started.
 pub async fn spawn(settings: &settings::Control) -> Result<Handle, Error> {
     let (disk, saved) = Disk::open(&settings.data_folder)?;
     let listener = TcpListener::bind(settings.listen).await?;
@@ -117,28 +118,32 @@
     let node = Node::open(me, timing, random_id(), timer.now(), saved);
     info!(
         target: "control",
-        "Member {} starts at {address} with {} log entries.",
+        "Starting member {} at {address} with {} log entries.",
         me.id,
         node.log_len()
     );
-    let (commands, queue) = mpsc::channel(COMMAND_QUEUE);
+    let (commands, queue) = mpsc::channel(MAX_QUEUED_COMMANDS);
     let thread = Thread::open(
         node,
         disk,
         snapshot.as_ref().map(|snapshot| snapshot.state.as_slice()),
         settings.snapshot_entries,
-        open_links(settings),
+        spawn_links(settings),
     );
-    let (end, ended) = oneshot::channel();
+    let (result_sender, ended) = oneshot::channel();
     std::thread::Builder::new().name("member".into()).spawn(move || {
         let result = thread.run(queue);
         if let Err(failure) = &result {
-            error!(target: "control", "Stops: {failure}.");
+            error!(
+                target: "control",
+                "Member stopped by a disk error: {failure}."
+            );
         }
-        let _ = end.send(result);
+        let _ = result_sender.send(result);
     })?;
     let ticks = commands.clone();
-    // Fine enough for the shortest heartbeat that the settings allow.
+    // Short enough for the smallest heartbeat interval that the settings
+    // allow.
     let period = Duration::from_millis((settings.heartbeat_ms / 4).max(5));
     timer.subscribe(period, move |now| {
         !matches!(
@@ -146,7 +151,7 @@
             Err(mpsc::error::TrySendError::Closed(_))
         )
     });
-    tokio::spawn(found_cluster(settings.clone(), commands.clone()));
+    tokio::spawn(bootstrap_cluster(settings.clone(), commands.clone()));
     let (stop, mut stopped) = watch::channel(false);
     let service = Service::new(commands.clone());
     let server = tokio::spawn(async move {
@@ -154,31 +159,35 @@
             let _ = stopped.wait_for(|stop| *stop).await;
         };
         if let Err(failure) = service.serve(listener, stop).await {
-            error!(target: "control", "Server failed: {failure}.");
+            error!(target: "control", "gRPC server failed: {failure}.");
         }
     });
     Ok(Handle { address, commands, stop, server, ended, _timer: timer })
 }
 
 impl Handle {
-    /// The address that it listens on.
+    /// Returns the address that the member listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Resolves when the member has ended by itself.
+    /// Waits until the member's thread ends.
     ///
     /// # Errors
     ///
-    /// When the disk failed.
+    /// Returns an error when the disk failed or the thread panicked.
     pub async fn ended(&mut self) -> Result<(), Error> {
         match (&mut self.ended).await {
             Ok(result) => result.map_err(Error::Disk),
-            Err(_) => Err(Error::Io(io::Error::other("the thread broke"))),
+            Err(_) => Err(Error::Io(io::Error::other(
+                "the member's thread panicked",
+            ))),
         }
     }
 
-    /// Answers what has begun, for at most two seconds, and ends.
+    /// Stops the member.
+    ///
+    /// Waits at most two seconds for calls in flight.
     pub async fn shutdown(self) {
         let _ = self.stop.send(true);
         let grace = Duration::from_secs(2);
@@ -189,7 +198,7 @@
     }
 }
 
-fn open_links(
+fn spawn_links(
     settings: &settings::Control,
 ) -> Box<dyn Fn(Vec<Envelope>) + Send> {
     let links: Vec<(u64, Link)> = settings
@@ -211,8 +220,9 @@
     })
 }
 
-/// Makes the first member list, if this is the member that has to.
-async fn found_cluster(
+/// Writes the first member list if all members are empty and this member has
+/// the lowest id.
+async fn bootstrap_cluster(
     settings: settings::Control,
     commands: mpsc::Sender<Command>,
 ) {
@@ -223,7 +233,7 @@
         if !empty {
             return;
         }
-        if let Some(members) = all_empty(&settings, me).await {
+        if let Some(members) = probe_empty_members(&settings, me).await {
             let first = members.first().map(|member| member.id);
             if first == Some(me.id) {
                 let _ = commands.send(Command::Bootstrap(members)).await;
@@ -234,8 +244,9 @@
     }
 }
 
-/// The members with their incarnations, if all answer and all are empty.
-async fn all_empty(
+/// Returns the members with their incarnations if all answer and all are
+/// empty.
+async fn probe_empty_members(
     settings: &settings::Control,
     me: Identity,
 ) -> Option<Vec<Member>> {
--- a/src/control/seat.rs
+++ b/src/control/seat.rs
@@ -1,17 +1,18 @@
-//! A control member whose peers are not in its settings.
+//! A dynamic member: a control member whose peers are not in its settings.
 //!
-//! The [rules](super::raft) and the [thread](super::member) are those of every
-//! member; what differs is how it meets the others. Its id is its address, so that ids
-//! need no list; links are opened to whoever the log's member list names; and
-//! it asks to be taken in while no leader talks to it.
+//! It uses the same [consensus algorithm](super::raft) and the same
+//! [thread](super::member) as other members, but finds its peers differently.
+//! Its id is derived from its address, so no list of ids is needed. It opens
+//! links to the members in the log's member list. While no leader contacts
+//! it, it asks to join the cluster.
 //!
-//! # Disks that fail
+//! # Disk errors
 //!
-//! A failed write ends the member's thread: going on could acknowledge what
-//! is not on the disk. A full disk fails for minutes, and ending the process
-//! each time would take the requests with it that the same process serves. So
-//! only the member ends here, and is opened anew after half a second, from what
-//! the disk then holds.
+//! A failed write ends the member's thread, because continuing could
+//! acknowledge data that is not on the disk. A full disk can persist for
+//! minutes, and ending the process would abort the requests that the same
+//! process serves. Only the member stops, and it restarts after half a second
+//! from the data then on the disk.
 
 use std::{
     net::{SocketAddr, SocketAddrV4},
@@ -40,37 +41,39 @@
     wire::{Envelope, Member},
 };
 
-/// Between two rounds of an idle leader, in ms.
-const HEARTBEAT_MS: u64 = 150;
-/// The shortest silence before an election, in ms.
+/// Interval between the heartbeats of an idle leader, in ms.
+const HEARTBEAT_INTERVAL_MS: u64 = 150;
+/// Minimum time without a leader before a member starts an election, in ms.
 ///
-/// Over six heartbeats: VMs with a quarter of a core stall for some tenths of
-/// a second under load, and each needless election costs a second of refused
-/// changes.
-const ELECTION_MS: u64 = 1000;
-/// Log entries between two snapshots; a whole plan can be in each.
-const SNAPSHOT_ENTRIES: usize = 100;
-/// Before a folder that failed is opened again.
-const REOPEN: Duration = Duration::from_millis(500);
-/// Commands that may wait for the thread.
-const COMMAND_QUEUE: usize = 1024;
-/// How often the thread is told the time; a third of a heartbeat.
-const TICK: Duration = Duration::from_millis(50);
+/// More than six heartbeats: VMs with a quarter of a core stall for some
+/// tenths of a second under load, and during each needless election changes
+/// are refused for about a second.
+const MIN_ELECTION_TIMEOUT_MS: u64 = 1000;
+/// Number of log entries at which the log is compacted into a snapshot.
+///
+/// Low, as each entry can contain a whole plan.
+const ENTRIES_PER_SNAPSHOT: usize = 100;
+/// Delay before a failed data folder is opened again.
+const REOPEN_INTERVAL: Duration = Duration::from_millis(500);
+/// Capacity of the command queue of the member's thread.
+const MAX_QUEUED_COMMANDS: usize = 1024;
+/// Interval between ticks of the thread; a third of a heartbeat interval.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How to run a seat.
+/// Options of a dynamic member.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Where members and nodes reach this one.
+    /// The address at which members and nodes reach this member.
     pub address: SocketAddrV4,
     /// The data folder.
     pub folder: PathBuf,
-    /// Whether this process makes a new cluster if its folder is empty.
+    /// Whether the member starts a new cluster if its folder is empty.
     pub founds: bool,
-    /// Voters without which a new cluster accepts nothing.
+    /// Number of voters below which a new cluster accepts no plan.
     pub least_voters: usize,
 }
 
-/// A running member; clones share it.
+/// A running dynamic member; clones refer to the same member.
 #[derive(Clone, Debug)]
 pub struct Handle {
     commands: Arc<Mutex<Option<mpsc::Sender<Command>>>>,
@@ -87,51 +90,56 @@
     }
 }
 
-/// A member's id, made of the address that it is reached at.
+/// Returns the id of the member at an address.
 pub fn id_of(address: SocketAddrV4) -> u64 {
     u64::from(u32::from(*address.ip())) << 16 | u64::from(address.port())
 }
 
-/// The address that an id was made of.
+/// Returns the address of the member with an id.
 pub fn address_of(id: u64) -> SocketAddrV4 {
     SocketAddrV4::new(((id >> 16) as u32).into(), id as u16)
 }
 
-/// Starts a member, and starts it again whenever its disk fails.
+/// Starts a member, and restarts it after each disk error.
 pub fn spawn(options: Options, timer: Timer) -> Handle {
     let commands: Arc<Mutex<Option<mpsc::Sender<Command>>>> = Arc::default();
-    let (show, view) = watch::channel(View::default());
-    let task = tokio::spawn(run(options, timer, commands.clone(), show));
+    let (view_sender, view) = watch::channel(View::default());
+    let task =
+        tokio::spawn(run(options, timer, commands.clone(), view_sender));
     Handle { commands, view, task: Arc::new(Task(task)) }
 }
 
 impl Handle {
-    /// Follows what the member knows.
+    /// Returns a receiver of the member's current view.
     pub fn view(&self) -> watch::Receiver<View> {
         self.view.clone()
     }
 
-    /// Where commands go; `None` while the disk is out of order.
+    /// Returns the sender of the command queue; `None` while the disk fails.
     pub fn commands(&self) -> Option<mpsc::Sender<Command>> {
-        self.commands.lock().unwrap_or_else(|held| held.into_inner()).clone()
+        self.commands
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
+            .clone()
     }
 
-    /// Whether this member may act for the whole system now.
+    /// Returns the leadership if this member may act for the whole system now.
     pub async fn office(&self) -> Option<Office> {
         let (answer, answered) = oneshot::channel();
         self.commands()?.send(Command::Office(answer)).await.ok()?;
         answered.await.ok()?
     }
 
-    /// Asks to be taken in, unless a leader talks to this member.
+    /// Asks `leader` to add this member, unless a leader already contacts it.
     pub fn join(&self, leader: u64) {
         if let Some(commands) = self.commands() {
-            // A full queue has more urgent things in it; it is asked again.
+            // If the queue is full, its commands are more urgent; the caller
+            // asks again.
             let _ = commands.try_send(Command::Join(leader));
         }
     }
 
-    /// Ends the thread once it has done what waits.
+    /// Stops the thread after it has handled the queued commands.
     pub async fn stop(&self) {
         if let Some(commands) = self.commands() {
             let _ = commands.send(Command::Stop).await;
@@ -147,41 +155,47 @@
     view: watch::Sender<View>,
 ) {
     loop {
-        let (ended, end) = oneshot::channel();
-        match open(&options, &timer, &view, ended) {
+        let (result_sender, result) = oneshot::channel();
+        match start_member(&options, &timer, &view, result_sender) {
             Ok(sender) => {
-                set(&commands, Some(sender));
-                match end.await {
+                set_sender(&commands, Some(sender));
+                match result.await {
                     Ok(Ok(())) => return,
                     Ok(Err(failure)) => {
-                        error!(target: "control", "Member ends: {failure}.");
+                        error!(
+                            target: "control",
+                            "Member stopped by a disk error: {failure}."
+                        );
                     }
                     Err(_) => {
-                        error!(target: "control", "Member's thread broke.");
+                        error!(target: "control", "Member's thread panicked.");
                     }
                 }
-                set(&commands, None);
+                set_sender(&commands, None);
             }
             Err(failure) => {
-                error!(target: "control", "Member can't start: {failure}.");
+                error!(
+                    target: "control",
+                    "Failed to start member: {failure}."
+                );
             }
         }
-        sleep(REOPEN).await;
+        sleep(REOPEN_INTERVAL).await;
     }
 }
 
-fn set(
+fn set_sender(
     commands: &Mutex<Option<mpsc::Sender<Command>>>,
     sender: Option<mpsc::Sender<Command>>,
 ) {
-    *commands.lock().unwrap_or_else(|held| held.into_inner()) = sender;
+    *commands.lock().unwrap_or_else(|poisoned| poisoned.into_inner()) = sender;
 }
 
-fn open(
+fn start_member(
     options: &Options,
     timer: &Timer,
     view: &watch::Sender<View>,
-    ended: oneshot::Sender<Result<(), super::disk::Error>>,
+    result_sender: oneshot::Sender<Result<(), super::disk::Error>>,
 ) -> Result<mpsc::Sender<Command>, Error> {
     let (disk, saved) = Disk::open(&options.folder)?;
     let me = Identity {
@@ -189,21 +203,21 @@
         incarnation: disk.incarnation(),
     };
     let timing = Timing {
-        heartbeat_ms: HEARTBEAT_MS,
-        election_timeout_ms: ELECTION_MS,
+        heartbeat_ms: HEARTBEAT_INTERVAL_MS,
+        election_timeout_ms: MIN_ELECTION_TIMEOUT_MS,
     };
     let snapshot = saved.snapshot.clone();
     let mut node = Node::open(me, timing, random_id(), timer.now(), saved);
     info!(
         target: "control",
-        "Member {} starts with {} log entries, term {}.",
+        "Starting member {} with {} log entries, term {}.",
         options.address,
         node.log_len(),
         node.term()
     );
     let founded = options.founds && node.is_empty();
     if founded {
-        info!(target: "control", "Founds a cluster of its own.");
+        info!(target: "control", "Starting a new cluster.");
         node.bootstrap(vec![Member {
             id: me.id,
             incarnation: me.incarnation,
@@ -211,7 +225,7 @@
             voter: true,
         }]);
     }
-    let (commands, queue) = mpsc::channel(COMMAND_QUEUE);
+    let (commands, queue) = mpsc::channel(MAX_QUEUED_COMMANDS);
     let state = snapshot.as_ref().map(|snapshot| snapshot.state.as_slice());
     let seat = Seat {
         address: options.address.to_string(),
@@ -221,13 +235,13 @@
     };
     let links = Links::open(tokio::runtime::Handle::current());
     let thread =
-        Thread::open(node, disk, state, SNAPSHOT_ENTRIES, links.sender())
+        Thread::open(node, disk, state, ENTRIES_PER_SNAPSHOT, links.sender())
             .with_seat(seat);
     std::thread::Builder::new().name("member".into()).spawn(move || {
-        let _ = ended.send(thread.run(queue));
+        let _ = result_sender.send(thread.run(queue));
     })?;
     let ticks = commands.clone();
-    timer.subscribe(TICK, move |now| {
+    timer.subscribe(TICK_INTERVAL, move |now| {
         !matches!(
             ticks.try_send(Command::Tick(now)),
             Err(mpsc::error::TrySendError::Closed(_))
@@ -236,10 +250,10 @@
     Ok(commands)
 }
 
-/// Links to members, opened when first needed.
+/// Links to members, opened on first use.
 struct Links {
     runtime: tokio::runtime::Handle,
-    /// Sorted by id.
+    /// The open links, sorted by id.
     open: Vec<(u64, Link)>,
 }
 
@@ -252,7 +266,7 @@
         let links = Mutex::new(self);
         Box::new(move |messages| {
             let mut links =
-                links.lock().unwrap_or_else(|held| held.into_inner());
+                links.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
             for message in messages {
                 links.send(message);
             }
@@ -264,7 +278,7 @@
         let at = match self.open.binary_search_by_key(&id, |(id, _)| *id) {
             Ok(at) => at,
             Err(at) => {
-                let _inside = self.runtime.enter();
+                let _guard = self.runtime.enter();
                 let link = Link::spawn(SocketAddr::V4(address_of(id)));
                 self.open.insert(at, (id, link));
                 at
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,9 +1,9 @@
 //! The messages between azuremount's processes, and the records on disk.
 //!
-//! Everything in [`generated`] comes from `proto/azuremount.proto` by
-//! `cargo run -p xtask` and is committed. These types stay at the
-//! border: the parts behind it convert to their own where they decide
-//! anything, and keep a generated type only where they store it unchanged.
+//! `cargo run -p xtask` generates the module [`generated`] from
+//! `proto/azuremount.proto`; the output is committed. These types are for
+//! input and output. Modules that make decisions convert them to their own
+//! types, and use a generated type only to store it unchanged.
 
 #[allow(missing_docs, clippy::all, rustdoc::all)]
 #[rustfmt::skip]
@@ -12,14 +12,15 @@
 pub use generated::*;
 
 impl Change {
-    /// A change without a time; the leader sets that when it appends it.
+    /// Creates a change without a time; the leader sets the time when it
+    /// appends the change.
     pub fn new(kind: change::Kind) -> Change {
         Change { at_ms: 0, kind: Some(kind) }
     }
 }
 
 impl Endpoint {
-    /// Name and incarnation, which together are never used twice.
+    /// Returns the id and the incarnation; the pair is never reused.
     pub fn identity(&self) -> (&str, u64) {
         (&self.id, self.incarnation)
     }
