--- a/benches/control.rs
+++ b/benches/control.rs
@@ -1,12 +1,13 @@
-//! Control: commits, changes of leader, configuration, bytes, replay.
+//! Benchmarks of the control members: commits, leader changes, configuration,
+//! bytes sent, replay.
 //!
 //! ```text
 //! cargo bench --bench control
 //! ```
 //!
-//! Bytes are those that the relays between the processes carry, TCP payload
-//! both ways, HTTP/2 framing included. Processor time and memory come from
-//! the system's own account of each process.
+//! The relays between the processes count bytes: TCP payload in both
+//! directions, with HTTP/2 framing. CPU time and memory of each process come
+//! from `/proc`.
 
 #[path = "../tests/all/cluster.rs"]
 #[allow(dead_code)]
@@ -58,7 +59,7 @@
         plains: 0,
         base: BASE.to_owned(),
         sites: ["a", "b", "c", "d"].map(str::to_owned).to_vec(),
-        // The settings that the product has without flags.
+        // The default settings.
         control_flags: Vec::new(),
         model_flags: Vec::new(),
         plain_flags: Vec::new(),
@@ -88,45 +89,45 @@
     times.get(times.len() / 2).copied().unwrap_or(0.0)
 }
 
-/// Milliseconds for one append and sync of a claim's size.
-fn bare_sync() -> f64 {
+/// Returns the median time of an append and sync of a claim's size, in ms.
+fn measure_append_and_sync() -> f64 {
     let path = std::env::temp_dir()
         .join(format!("azuremount-sync-{}", std::process::id()));
     let mut file = fs::File::create(&path).expect("a file");
     let mut times: Vec<f64> = (0..500)
         .map(|_| {
-            let began = Instant::now();
+            let started_at = Instant::now();
             file.write_all(&[7; 150]).expect("a write");
             file.sync_data().expect("a sync");
-            began.elapsed().as_secs_f64() * 1e3
+            started_at.elapsed().as_secs_f64() * 1e3
         })
         .collect();
     fs::remove_file(&path).expect("removed");
     median(&mut times)
 }
 
-fn commits(cluster: &Cluster) {
-    let bare = bare_sync();
+fn measure_commits(cluster: &Cluster) {
+    let baseline = measure_append_and_sync();
     let client = cluster.control();
     let mut next = 0;
-    let mut one = || {
+    let mut commit_one = || {
         next += 1;
-        let began = Instant::now();
+        let started_at = Instant::now();
         let change = claim(next);
         let proposed = client.propose(change, LONG, true);
         cluster.runtime.block_on(proposed).expect("a claim");
-        began.elapsed().as_secs_f64() * 1e3
+        started_at.elapsed().as_secs_f64() * 1e3
     };
-    let mut times: Vec<f64> = (0..500).map(|_| one()).collect();
+    let mut times: Vec<f64> = (0..500).map(|_| commit_one()).collect();
     let alone = median(&mut times);
     let p99 = times[times.len() * 99 / 100];
     println!(
         "commit alone: {alone:.2} ms (p99 {p99:.2}), bare append and sync \
-         {bare:.2} ms: {:.1} times",
-        alone / bare
+         {baseline:.2} ms: {:.1} times",
+        alone / baseline
     );
     for clients in [16_u64, 256] {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let client = std::sync::Arc::new(cluster.control());
         let count = 20 * clients.max(100);
         cluster.runtime.block_on(async {
@@ -148,17 +149,17 @@
                 task.await.expect("a task");
             }
         });
-        let rate = count as f64 / began.elapsed().as_secs_f64();
+        let rate = count as f64 / started_at.elapsed().as_secs_f64();
         println!("commits, {clients} at once: {rate:.0}/s");
     }
 }
 
-fn in_force(cluster: &Cluster) {
+fn measure_config_apply(cluster: &Cluster) {
     let mut times = Vec::new();
     for number in 0..30 {
         let from = cluster.status().revision;
         let config = cluster.config(&format!("force-{number}"), from, number);
-        let began = Instant::now();
+        let started_at = Instant::now();
         let applied = cluster.propose(change::Kind::Apply(config));
         applied.expect("applied");
         loop {
@@ -168,7 +169,7 @@
                 break;
             }
         }
-        times.push(began.elapsed().as_secs_f64() * 1e3);
+        times.push(started_at.elapsed().as_secs_f64() * 1e3);
     }
     let worst = times.iter().copied().fold(0.0, f64::max);
     println!(
@@ -179,17 +180,17 @@
     );
 }
 
-fn leader_changes(cluster: &mut Cluster) {
+fn measure_leader_changes(cluster: &mut Cluster) {
     let mut times = Vec::new();
     for number in 0..5 {
         let leader = cluster.leader();
         cluster.kill(&leader);
-        let began = Instant::now();
+        let started_at = Instant::now();
         let change = claim(9_000_000_000 + number);
         let client = cluster.control();
         let proposed = client.propose(change, LONG, true);
         cluster.runtime.block_on(proposed).expect("a claim");
-        times.push(began.elapsed().as_secs_f64() * 1e3);
+        times.push(started_at.elapsed().as_secs_f64() * 1e3);
         cluster.start(&leader);
         cluster
             .wait("repair", |cluster| cluster.status().survivable_losses > 0);
@@ -202,7 +203,8 @@
     );
 }
 
-/// Processor seconds and resident megabytes of a process.
+/// Returns the CPU time of a process in seconds and its resident memory in
+/// MiB.
 fn usage(pid: u32) -> (f64, f64) {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat"));
     let stat = stat.expect("a running process");
@@ -223,8 +225,9 @@
     ((ticks(11) + ticks(12)) / 100.0, resident / 1024.0)
 }
 
-/// Slopes: what entries and replicas cost when nothing else happens.
-fn slopes() {
+/// Measures how traffic, CPU time and memory grow with the number of entries
+/// and replicas, without requests.
+fn measure_slopes() {
     println!(
         "\n{:>7} {:>8} {:>6} {:>11} {:>10} {:>11} {:>10} {:>9} {:>9}",
         "entries",
@@ -252,9 +255,9 @@
         let pids = [cluster.pid(&leader), cluster.pid("e1")];
         let before = pids.map(usage);
         let bytes = [cluster.carried(&leader), cluster.carried_control("e1")];
-        let began = Instant::now();
+        let started_at = Instant::now();
         let mut revision = cluster.status().revision;
-        while began.elapsed() < Duration::from_secs(8) {
+        while started_at.elapsed() < Duration::from_secs(8) {
             std::thread::sleep(Duration::from_millis(1000));
             if changes > 0 {
                 let id = format!("slope-{revision}");
@@ -264,7 +267,7 @@
                 revision += 1;
             }
         }
-        let took = began.elapsed().as_secs_f64();
+        let took = started_at.elapsed().as_secs_f64();
         let after = pids.map(usage);
         let share = |at: usize| (after[at].0 - before[at].0) / took * 100.0;
         let rate = |at: usize, now: u64| (now - bytes[at]) as f64 / took;
@@ -281,8 +284,8 @@
     }
 }
 
-/// How long a member needs to read its folder, by length of the log.
-fn replay() {
+/// Measures how long a member takes to read its data folder, by log length.
+fn measure_replay() {
     println!();
     for count in [1000_u64, 10_000, 100_000] {
         let folder = std::env::temp_dir()
@@ -299,7 +302,7 @@
         }
         let bytes = disk.log_bytes();
         drop(disk);
-        let began = Instant::now();
+        let started_at = Instant::now();
         let (disk, saved) = Disk::open(&folder).expect("a folder");
         let me = Identity { id: 1, incarnation: disk.incarnation() };
         let timing = Timing { heartbeat_ms: 100, election_timeout_ms: 500 };
@@ -309,10 +312,10 @@
         for entry in &log {
             ledger.apply(entry);
         }
-        let replayed = began.elapsed().as_secs_f64() * 1e3;
-        let began = Instant::now();
+        let replayed = started_at.elapsed().as_secs_f64() * 1e3;
+        let started_at = Instant::now();
         let state = ledger.encode();
-        let encoded = began.elapsed().as_secs_f64() * 1e3;
+        let encoded = started_at.elapsed().as_secs_f64() * 1e3;
         println!(
             "replay of {count} claims ({:.1} MB): {replayed:.1} ms; snapshot \
              {:.1} MB in {encoded:.1} ms; {} in the log",
@@ -325,22 +328,23 @@
 }
 
 fn main() {
-    let words: Vec<String> = std::env::args()
+    let selected: Vec<String> = std::env::args()
         .skip(1)
-        .filter(|word| !word.starts_with("--"))
+        .filter(|arg| !arg.starts_with("--"))
         .collect();
-    let wanted =
-        |name: &str| words.is_empty() || words.iter().any(|one| one == name);
-    if wanted("commits") {
+    let is_selected = |name: &str| {
+        selected.is_empty() || selected.iter().any(|arg| arg == name)
+    };
+    if is_selected("commits") {
         let mut cluster = open(3, 11, 4);
-        commits(&cluster);
-        in_force(&cluster);
-        leader_changes(&mut cluster);
+        measure_commits(&cluster);
+        measure_config_apply(&cluster);
+        measure_leader_changes(&mut cluster);
     }
-    if wanted("replay") {
-        replay();
+    if is_selected("replay") {
+        measure_replay();
     }
-    if wanted("slopes") {
-        slopes();
+    if is_selected("slopes") {
+        measure_slopes();
     }
 }
