--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -346,12 +346,12 @@
     /// Returns a VM that can send `bytes` bytes to an operator much faster
     /// than this VM, if the transfer would take long here and such a VM is
     /// known.
-    pub fn faster_reader(&self, bytes: usize) -> Option<Ipv4Addr> {
-        self.node.faster_reader(bytes)
+    pub fn redirect_target(&self, bytes: usize) -> Option<Ipv4Addr> {
+        self.node.redirect_target(bytes)
     }
 
     /// Applies a replica's heartbeat.
-    pub fn sight(&self, says: Sighting) {
+    pub fn apply_heartbeat(&self, says: Sighting) {
         let node = &self.node;
         let Some(mesh) = node.mesh.get() else { return };
         let now = node.gateway.timer.now();
@@ -380,7 +380,11 @@
     ///
     /// Logs at most one line a second, because a faulty sender may send any
     /// number of them.
-    pub fn note_unreadable(&self, whose: &str, why: &dyn fmt::Display) {
+    pub fn record_unreadable_heartbeat(
+        &self,
+        whose: &str,
+        why: &dyn fmt::Display,
+    ) {
         let node = &self.node;
         let unreadable = node.gateway.metrics.unreadable.inc() + 1;
         let now = Instant::now();
--- a/src/node/plan.rs
+++ b/src/node/plan.rs
@@ -100,13 +100,13 @@
         Ok(PutPlan { version: plan.version, source })
     }
 
-    /// See [`super::Handle::faster_reader`]. Returns the leader, which has
+    /// See [`super::Handle::redirect_target`]. Returns the leader, which has
     /// just confirmed the newest plan, if its link is fast enough.
     ///
     /// Without the redirect, operators can read a plan of a megabyte only at
     /// VMs with fast links, which are one in fifteen. Every node holds the
     /// plan, but sending it takes a second over ten megabits.
-    pub(super) fn faster_reader(&self, bytes: usize) -> Option<Ipv4Addr> {
+    pub(super) fn redirect_target(&self, bytes: usize) -> Option<Ipv4Addr> {
         let table = self.mesh.get()?.table();
         let own = table.own_peer();
         let bits = bytes as u64 * 8;
--- a/tests/all/crashes.rs
+++ b/tests/all/crashes.rs
@@ -73,7 +73,7 @@
         self.started += 1;
         let id = format!("r{}", self.started);
         for node in self.site.nodes() {
-            node.sight(sighting(&id, address, 0));
+            node.apply_heartbeat(sighting(&id, address, 0));
         }
         self.replicas.push((id, address));
     }
@@ -87,7 +87,7 @@
                 self.replicas.iter().position(|replica| replica.1 == address);
             let (id, _) = self.replicas.remove(at.unwrap());
             for node in self.site.nodes() {
-                node.sight(sighting(&id, address, 2));
+                node.apply_heartbeat(sighting(&id, address, 2));
             }
             self.start_replica().await;
         }
@@ -139,7 +139,7 @@
         self.site.all_serve().await;
         for node in self.site.nodes() {
             for (id, address) in &self.replicas {
-                node.sight(sighting(id, *address, 0));
+                node.apply_heartbeat(sighting(id, *address, 0));
             }
         }
     }
@@ -293,7 +293,7 @@
         let running = running.expect("refused").unwrap();
         let (replica, _) = service.replicas.pop().unwrap();
         for node in service.site.nodes() {
-            node.sight(sighting(&replica, running, 1));
+            node.apply_heartbeat(sighting(&replica, running, 1));
         }
         let answer = asked.await.unwrap();
         assert_eq!(status(&answer), "200", "{answer}");
--- a/tests/all/endings.rs
+++ b/tests/all/endings.rs
@@ -99,7 +99,8 @@
                 .map(next_heartbeat)
                 .collect();
             for (number, says) in says.into_iter().enumerate() {
-                self.nodes[(at + number) % self.nodes.len()].sight(says);
+                self.nodes[(at + number) % self.nodes.len()]
+                    .apply_heartbeat(says);
             }
             sleep(HEARTBEAT_INTERVAL).await;
         }
--- a/tests/all/gateway.rs
+++ b/tests/all/gateway.rs
@@ -482,11 +482,12 @@
         TestNode::open(&[("one", one.address), ("two", two.address)]).await;
     let leaving = 1;
     let heartbeat = sighting("one", one.address, leaving);
-    world.node.sight(Sighting { sequence: 7, ..heartbeat });
-    world.node.sight(sighting("one", one.address, 0));
-    world
-        .node
-        .sight(Sighting { sequence: 8, ..sighting("one", one.address, 0) });
+    world.node.apply_heartbeat(Sighting { sequence: 7, ..heartbeat });
+    world.node.apply_heartbeat(sighting("one", one.address, 0));
+    world.node.apply_heartbeat(Sighting {
+        sequence: 8,
+        ..sighting("one", one.address, 0)
+    });
     for _ in 0..6 {
         assert_eq!(status(&world.get("/once/x").await), "200");
     }
--- a/tests/all/large_plan.rs
+++ b/tests/all/large_plan.rs
@@ -223,14 +223,14 @@
     let wide = node::spawn(wide).await.unwrap();
     submit_plan(&narrow, b"5").await;
     let redirected = async {
-        while narrow.faster_reader(PLAN_BYTES) != Some(ip(1)) {
+        while narrow.redirect_target(PLAN_BYTES) != Some(ip(1)) {
             sleep(Duration::from_millis(20)).await;
         }
     };
     timeout(TEST_TIMEOUT, redirected).await.expect("operator not redirected");
-    assert_eq!(narrow.faster_reader(10_000), None, "a short text");
-    assert_eq!(leader.faster_reader(PLAN_BYTES), None, "to itself");
-    assert_eq!(wide.faster_reader(PLAN_BYTES), None, "to a narrower link");
+    assert_eq!(narrow.redirect_target(10_000), None, "a short text");
+    assert_eq!(leader.redirect_target(PLAN_BYTES), None, "to itself");
+    assert_eq!(wide.redirect_target(PLAN_BYTES), None, "to a narrower link");
 }
 
 /// Like [`changes_of_a_large_plan_do_not_fill_a_disk`], with plans that can't
--- a/tests/all/nodes.rs
+++ b/tests/all/nodes.rs
@@ -252,7 +252,7 @@
     apply_plan(site.node(3), 1).await;
     site.all_serve().await;
     let replica = Replica::spawn(|_| ok("fine")).await;
-    site.node(3).sight(sighting("r", replica.address, 0));
+    site.node(3).apply_heartbeat(sighting("r", replica.address, 0));
     let front = site.node(3).front().unwrap();
     let mut client = TcpStream::connect(front).await.unwrap();
     let request = "GET /again/x HTTP/1.1\r\nHost: here\r\n\
@@ -308,7 +308,7 @@
     apply_plan(site.node(3), 1).await;
     site.all_serve().await;
     let replica = Replica::spawn(|_| ok("fine")).await;
-    site.node(3).sight(sighting("r", replica.address, 0));
+    site.node(3).apply_heartbeat(sighting("r", replica.address, 0));
     let saved: Vec<_> = site
         .folders
         .iter()
--- a/tests/all/rate_limits.rs
+++ b/tests/all/rate_limits.rs
@@ -108,7 +108,10 @@
         for sequence in 1.. {
             for sighting in &sightings {
                 for node in &nodes {
-                    node.sight(Sighting { sequence, ..sighting.clone() });
+                    node.apply_heartbeat(Sighting {
+                        sequence,
+                        ..sighting.clone()
+                    });
                 }
             }
             sleep(HEARTBEAT_INTERVAL).await;
--- a/tests/all/world.rs
+++ b/tests/all/world.rs
@@ -246,7 +246,7 @@
             sleep(Duration::from_millis(10)).await;
         }
         for (id, address) in replicas {
-            node.sight(sighting(id, *address, 0));
+            node.apply_heartbeat(sighting(id, *address, 0));
         }
         let front = node.front().unwrap();
         TestNode { node, front, _folder: folder }
