--- a/src/node/plan.rs
+++ b/src/node/plan.rs
@@ -65,14 +65,14 @@
     /// The plan is invalid. Sending it again fails in the same way.
     Invalid(Invalid),
     /// Control rejected the plan or did not answer.
-    Away(Verdict, String),
+    NotConfirmed(Verdict, String),
 }
 
 impl fmt::Display for PutError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             PutError::Invalid(invalid) => invalid.fmt(out),
-            PutError::Away(verdict, text) => {
+            PutError::NotConfirmed(verdict, text) => {
                 write!(out, "{}: {text}", verdict.as_str())
             }
         }
@@ -162,7 +162,7 @@
         let change = Change::new(change::Kind::PutPlan(record));
         let outcome = self.control.propose(change, PUT_TIMEOUT, true).await;
         let outcome = outcome.map_err(|error| {
-            PutError::Away(error.verdict(), error.to_string())
+            PutError::NotConfirmed(error.verdict(), error.to_string())
         })?;
         match outcome.kind {
             Some(outcome::Kind::Plan(PlanOutcome { version: held }))
@@ -180,7 +180,7 @@
             }
             _ => {
                 let text = "control gave no outcome".to_owned();
-                Err(PutError::Away(Verdict::MayHaveRun, text))
+                Err(PutError::NotConfirmed(Verdict::MayHaveRun, text))
             }
         }
     }
