--- a/src/duty/mod.rs
+++ b/src/duty/mod.rs
@@ -74,7 +74,7 @@
 
 /// Identifies the caller of the platform, with its fencing token.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Badge {
+pub struct FencingToken {
     /// The node's name.
     pub holder: String,
     /// The fencing token, which increases with each new holder.
@@ -112,7 +112,7 @@
     /// report may be sent again.
     async fn report(
         &self,
-        badge: &Badge,
+        token: &FencingToken,
         usage: &RecordUsage,
     ) -> Result<(), Error>;
 
@@ -122,7 +122,11 @@
     ///
     /// Returns an error if the platform has no such replicas or did not
     /// answer. The same order may be sent again.
-    async fn order(&self, badge: &Badge, order: &Order) -> Result<(), Error>;
+    async fn order(
+        &self,
+        token: &FencingToken,
+        order: &Order,
+    ) -> Result<(), Error>;
 }
 
 /// The parts of the node that duties use.
@@ -143,8 +147,9 @@
 }
 
 impl Context {
-    /// Returns this node's badge while it may act for the whole system.
-    pub async fn badge(&self, options: &Options) -> Option<Badge> {
+    /// Returns this node's fencing token while it may act for the whole
+    /// system.
+    pub async fn token(&self, options: &Options) -> Option<FencingToken> {
         let Office { term, held_ms, is_first } = self.seat.office().await?;
         // A leader waits until no call of its predecessor can be in transit.
         // The first leader of a cluster has no predecessor. If it waited, the
@@ -153,7 +158,7 @@
         if !is_first && held_ms < options.lease_ms + MAX_CALL_TRANSIT_MS {
             return None;
         }
-        Some(Badge { holder: options.holder.clone(), fence: term })
+        Some(FencingToken { holder: options.holder.clone(), fence: term })
     }
 }
 
@@ -175,7 +180,7 @@
         loop {
             sleep(CHECK_INTERVAL).await;
             scaler.observe(&context);
-            if context.badge(&options).await.is_none() {
+            if context.token(&options).await.is_none() {
                 reporter = usage::Reporter::default();
                 scaler.forget_orders();
                 continue;
--- a/src/duty/scale.rs
+++ b/src/duty/scale.rs
@@ -81,10 +81,10 @@
         let now = context.timer.now();
         let due = self.due(now, plan, &context.mesh.table());
         for (order, there) in due {
-            let Some(badge) = context.badge(options).await else { return };
-            let result = context.cloud.order(&badge, &order).await;
+            let Some(token) = context.token(options).await else { return };
+            let result = context.cloud.order(&token, &order).await;
             let refused = result.is_err();
-            log(&order, there, badge.fence, result);
+            log(&order, there, token.fence, result);
             self.record_order(now, refused, order);
         }
     }
--- a/src/duty/usage.rs
+++ b/src/duty/usage.rs
@@ -76,13 +76,13 @@
             return false;
         };
         // Checked again right before the call, because committing takes time.
-        let Some(badge) = context.badge(options).await else { return false };
-        match context.cloud.report(&badge, &recorded).await {
+        let Some(token) = context.token(options).await else { return false };
+        match context.cloud.report(&token, &recorded).await {
             Ok(()) => {
                 info!(
                     target: "duty",
                     window,
-                    fence = badge.fence,
+                    fence = token.fence,
                     teams = recorded.counts.len(),
                     "Reported usage."
                 );
@@ -92,7 +92,7 @@
                 warn!(
                     target: "duty",
                     window,
-                    fence = badge.fence,
+                    fence = token.fence,
                     "Usage not reported: {error}."
                 );
                 false
--- a/tests/all/world.rs
+++ b/tests/all/world.rs
@@ -11,7 +11,7 @@
 
 use azuremount::{
     decide::{quota::Tolerance, retry::Bound},
-    duty::{self, Badge, Cloud, Order},
+    duty::{self, Cloud, FencingToken, Order},
     gateway::{
         self, UsageWindow,
         dialect::{AnswerInfo, AttemptInfo, Dialect, Limit, RequestInfo},
@@ -105,13 +105,17 @@
 impl Cloud for NullCloud {
     async fn report(
         &self,
-        _: &Badge,
+        _: &FencingToken,
         _: &RecordUsage,
     ) -> Result<(), duty::Error> {
         Ok(())
     }
 
-    async fn order(&self, _: &Badge, _: &Order) -> Result<(), duty::Error> {
+    async fn order(
+        &self,
+        _: &FencingToken,
+        _: &Order,
+    ) -> Result<(), duty::Error> {
         Ok(())
     }
 }
