--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -95,7 +95,7 @@
     pub front: SocketAddrV4,
     /// The address for other nodes, over TCP and UDP. The port is the same on
     /// all VMs.
-    pub peers: SocketAddrV4,
+    pub peer_address: SocketAddrV4,
     /// Nodes to contact first.
     pub seeds: Vec<Ipv4Addr>,
     /// The data centre of this VM.
@@ -106,7 +106,7 @@
     /// Whether this node creates the cluster if its folder is empty.
     pub founds: bool,
     /// Number of members that may lose their disks at the same time.
-    pub tolerance: usize,
+    pub survivable_disk_losses: usize,
     /// Bandwidth of this VM's link in Mbit/s, or 0 if unknown.
     pub link_mbps: u32,
     /// Configuration of the gateway.
@@ -176,10 +176,10 @@
     ));
     let seat = options.folder.clone().map(|folder| {
         let options = seat::Options {
-            address: options.peers,
+            address: options.peer_address,
             folder,
             founds: options.founds,
-            least_voters: 2 * options.tolerance + 1,
+            least_voters: 2 * options.survivable_disk_losses + 1,
         };
         seat::spawn(options, timer.clone())
     });
@@ -187,10 +187,10 @@
     if !options.founds {
         gateway.start_joining_quotas();
     }
-    let port = options.peers.port();
+    let port = options.peer_address.port();
     let seeds: Vec<SocketAddr> =
         options.seeds.iter().map(|ip| (*ip, port).into()).collect();
-    let first = seeds.first().copied().unwrap_or(options.peers.into());
+    let first = seeds.first().copied().unwrap_or(options.peer_address.into());
     let control = Client::open(&[first]);
     control.set_members(&seeds);
     let node = Arc::new(Node {
@@ -212,18 +212,19 @@
         tasks: Mutex::new(Vec::new()),
         duties: Mutex::new(None),
     });
-    let listener = TcpListener::bind(SocketAddr::V4(options.peers)).await?;
+    let listener =
+        TcpListener::bind(SocketAddr::V4(options.peer_address)).await?;
     let mesh = mesh::bind(
         mesh::Options {
             me: Peer {
-                ip: (*options.peers.ip()).into(),
+                ip: (*options.peer_address.ip()).into(),
                 incarnation: random_id(),
                 data_centre: options.data_centre.clone(),
                 has_disk: seat.is_some(),
                 link_mbps: options.link_mbps,
                 ..Peer::default()
             },
-            listen: options.peers,
+            listen: options.peer_address,
             seeds: options.seeds.clone(),
         },
         timer.clone(),
--- a/tests/all/nodes.rs
+++ b/tests/all/nodes.rs
@@ -29,7 +29,7 @@
 /// A cluster of nodes under test.
 pub struct Site {
     /// Number of members that may lose their disks at the same time.
-    tolerance: usize,
+    survivable_disk_losses: usize,
     ips: Vec<Ipv4Addr>,
     folders: Vec<Option<TempFolder>>,
     nodes: Vec<Option<node::Handle>>,
@@ -44,13 +44,13 @@
     async fn open_with_tolerance(
         disks: usize,
         others: usize,
-        tolerance: usize,
+        survivable_disk_losses: usize,
     ) -> Site {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let net = NEXT.fetch_add(1, Ordering::Relaxed);
         let count = disks + others;
         let mut site = Site {
-            tolerance,
+            survivable_disk_losses,
             ips: (0..count as u32)
                 .map(|at| Ipv4Addr::from(0x7f58_0001 + (net << 8) + at))
                 .collect(),
@@ -70,7 +70,7 @@
         let options = node::Options {
             folder: folder.map(|folder| folder.0.clone()),
             founds: first && at == 0,
-            tolerance: self.tolerance,
+            survivable_disk_losses: self.survivable_disk_losses,
             ..options(self.ips[at], PORT, &self.ips[..3])
         };
         let started = async {
--- a/tests/all/world.rs
+++ b/tests/all/world.rs
@@ -177,12 +177,12 @@
 pub fn options(ip: Ipv4Addr, port: u16, seeds: &[Ipv4Addr]) -> node::Options {
     node::Options {
         front: SocketAddrV4::new(ip, 0),
-        peers: SocketAddrV4::new(ip, port),
+        peer_address: SocketAddrV4::new(ip, port),
         seeds: seeds.to_vec(),
         data_centre: "one".to_owned(),
         folder: None,
         founds: false,
-        tolerance: 0,
+        survivable_disk_losses: 0,
         link_mbps: 0,
         gateway: gateway::Options {
             data_centre: "one".to_owned(),
