--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -261,7 +261,7 @@
             node.clone(),
             seat.clone(),
         )));
-        let tools = duty::Context {
+        let context = duty::Context {
             seat: seat.clone(),
             control: node.control.clone(),
             mesh,
@@ -269,7 +269,7 @@
             cloud: options.cloud.clone(),
             timer,
         };
-        *lock(&node.duties) = Some(duty::spawn(options.duties, tools));
+        *lock(&node.duties) = Some(duty::spawn(options.duties, context));
     }
     *lock(&node.tasks) = tasks;
     info!(
@@ -288,7 +288,7 @@
 /// Most of the grace period has to remain for the answers. A stream that was
 /// accepted three seconds into a grace period of eight, and waited two seconds
 /// for its replica, was cut off in the middle when the process had to exit.
-pub fn linger(grace: Duration) -> Duration {
+pub fn accept_duration(grace: Duration) -> Duration {
     MAX_ACCEPT_DURATION.min(grace.mul_f64(MAX_ACCEPT_SHARE))
 }
 
@@ -436,7 +436,7 @@
         // Duties stop first, because a successor only waits until this node's
         // lease has expired.
         *lock(&node.duties) = None;
-        sleep(linger(grace)).await;
+        sleep(accept_duration(grace)).await;
         if let Some(server) = server {
             let left = end.saturating_duration_since(Instant::now());
             server.shutdown(left).await;
--- a/tests/all/crashes.rs
+++ b/tests/all/crashes.rs
@@ -50,7 +50,7 @@
     async fn open(replicas: usize) -> Service {
         let site = Site::open(3, 0).await;
         apply_plan(site.node(0), 1).await;
-        site.all_serve().await;
+        site.wait_until_all_serve().await;
         let (stops_sender, stops) = mpsc::unbounded_channel();
         let mut service = Service {
             site,
@@ -136,7 +136,7 @@
         for &at in nodes {
             self.site.start(at, false).await;
         }
-        self.site.all_serve().await;
+        self.site.wait_until_all_serve().await;
         for node in self.site.nodes() {
             for (id, address) in &self.replicas {
                 node.apply_heartbeat(sighting(id, *address, 0));
--- a/tests/all/endings.rs
+++ b/tests/all/endings.rs
@@ -277,7 +277,7 @@
     ) -> Service {
         let site = Site::open(3, others).await;
         apply_plan(site.node(0), 1).await;
-        site.all_serve().await;
+        site.wait_until_all_serve().await;
         let shared = Arc::new(Shared {
             after_crash,
             nodes: site.nodes().cloned().collect(),
--- a/tests/all/nodes.rs
+++ b/tests/all/nodes.rs
@@ -123,7 +123,7 @@
         timeout(STEP_TIMEOUT, read).await.expect("no majority answers")
     }
 
-    async fn all_know_caches(&self, when: &str) {
+    async fn wait_until_all_know_caches(&self, when: &str) {
         let known = async {
             while self
                 .nodes
@@ -137,7 +137,7 @@
         timeout(STEP_TIMEOUT, known).await.expect(when);
     }
 
-    pub async fn all_serve(&self) {
+    pub async fn wait_until_all_serve(&self) {
         let serve = async {
             let running = || self.nodes.iter().flatten();
             while !running().all(|node| {
@@ -157,7 +157,7 @@
 async fn a_plan_is_in_force_everywhere() {
     let site = Site::open(4, 2).await;
     apply_plan(site.node(5), 3).await;
-    site.all_serve().await;
+    site.wait_until_all_serve().await;
     for at in 0..6 {
         assert_eq!(site.read(at).await, 3);
     }
@@ -174,7 +174,7 @@
 async fn a_second_disk_may_be_lost_once_the_first_is_back() {
     let mut site = Site::open(4, 0).await;
     apply_plan(site.node(0), 1).await;
-    site.all_serve().await;
+    site.wait_until_all_serve().await;
     for (round, lost) in [0, 1, 2].into_iter().enumerate() {
         let version = 10 + round as u64;
         apply_plan(site.node(3), version).await;
@@ -202,7 +202,7 @@
     for at in 0..4 {
         assert_eq!(site.read(at).await, 5);
     }
-    site.all_serve().await;
+    site.wait_until_all_serve().await;
 }
 
 /// Guards against a second cluster beside the first. The founder's disk is
@@ -232,7 +232,7 @@
     std::fs::rename(&path, &aside).unwrap();
     std::fs::write(&path, "not a folder").unwrap();
     site.start(3, false).await;
-    site.all_serve().await;
+    site.wait_until_all_serve().await;
     apply_plan(site.node(3), 2).await;
     std::fs::remove_file(&path).unwrap();
     std::fs::rename(&aside, &path).unwrap();
@@ -250,7 +250,7 @@
 async fn cached_parts_are_known_after_one_or_all_nodes_restart() {
     let mut site = Site::open(3, 1).await;
     apply_plan(site.node(3), 1).await;
-    site.all_serve().await;
+    site.wait_until_all_serve().await;
     let replica = Replica::spawn(|_| ok("fine")).await;
     site.node(3).apply_heartbeat(sighting("r", replica.address, 0));
     let front = site.node(3).front().unwrap();
@@ -259,10 +259,11 @@
                    Tokens: 1500\r\nParts: 7:900,8:600\r\n\r\n";
     client.write_all(request.as_bytes()).await.unwrap();
     read_answer(&mut client).await;
-    site.all_know_caches("not all nodes know the cached parts").await;
+    site.wait_until_all_know_caches("not all nodes know the cached parts")
+        .await;
     site.stop(3).await;
     site.start(3, false).await;
-    site.all_know_caches("unknown after one node restarted").await;
+    site.wait_until_all_know_caches("unknown after one node restarted").await;
     let saved = site.folders[0].as_ref().unwrap().0.join("memory");
     let written = async {
         // The file contains the replica's hash once it contains a cached part.
@@ -282,7 +283,7 @@
     for at in 0..4 {
         site.start(at, false).await;
     }
-    site.all_know_caches("unknown after all nodes restarted").await;
+    site.wait_until_all_know_caches("unknown after all nodes restarted").await;
 }
 
 /// Guards against cutting a caller's stream in the middle at a planned stop.
@@ -294,7 +295,7 @@
 fn a_stopping_node_leaves_most_of_its_time_for_answers() {
     for seconds in [1, 2, 4, 8, 30] {
         let grace = Duration::from_secs(seconds);
-        let left = grace - node::linger(grace);
+        let left = grace - node::accept_duration(grace);
         assert!(left >= grace.mul_f64(0.625), "{left:?} of {grace:?}");
     }
 }
@@ -306,7 +307,7 @@
 async fn replicas_are_known_at_once_after_all_have_restarted() {
     let mut site = Site::open(3, 1).await;
     apply_plan(site.node(3), 1).await;
-    site.all_serve().await;
+    site.wait_until_all_serve().await;
     let replica = Replica::spawn(|_| ok("fine")).await;
     site.node(3).apply_heartbeat(sighting("r", replica.address, 0));
     let saved: Vec<_> = site
@@ -383,7 +384,7 @@
 async fn acknowledged_plans_survive_disk_losses_during_a_power_loss() {
     let mut site = Site::open_with_tolerance(5, 2, 2).await;
     apply_plan(site.node(6), 1).await;
-    site.all_serve().await;
+    site.wait_until_all_serve().await;
     for (round, lost) in [[0, 1], [2, 3], [4, 0]].into_iter().enumerate() {
         let version = 10 + round as u64;
         apply_plan(site.node(5), version).await;
--- a/tests/all/rate_limits.rs
+++ b/tests/all/rate_limits.rs
@@ -178,7 +178,7 @@
 async fn all_nodes_together_comply_with_the_rate_of_a_replica() {
     let site = Site::open(3, 3).await;
     apply_plan(site.node(0), 1).await;
-    site.all_serve().await;
+    site.wait_until_all_serve().await;
     let nodes: Vec<node::Handle> = site.nodes().cloned().collect();
     let rates = [Some(1.0), Some(1.0), Some(8.0), None, None, None];
     let replicas = check_load(&nodes, &rates).await;
@@ -192,7 +192,7 @@
 async fn a_limit_ends_when_answers_announce_none() {
     let site = Site::open(3, 0).await;
     apply_plan(site.node(0), 1).await;
-    site.all_serve().await;
+    site.wait_until_all_serve().await;
     let nodes: Vec<node::Handle> = site.nodes().cloned().collect();
     let limited = Limited::spawn(Some(1.0)).await;
     let rate = limited.rate.clone();
