--- a/src/node/plan.rs
+++ b/src/node/plan.rs
@@ -251,7 +251,7 @@
     let held = node.gateway.plan_version();
     let leader = *seat::address_of(table.own_peer().leader).ip();
     let now = node.gateway.timer.now();
-    let newer = table.live(now).filter(|peer| peer.peer.plan_version > held);
+    let newer = table.live(now).filter(|other| other.peer.plan_version > held);
     let (leader, others): (Vec<_>, Vec<_>) =
         newer.map(table::Node::ip).partition(|ip| *ip == leader);
     (others, leader.first().copied())
@@ -261,7 +261,7 @@
     let Some(mesh) = node.mesh.get() else { return false };
     let table = mesh.table();
     let now = node.gateway.timer.now();
-    table.live(now).filter(|peer| peer.peer.has_disk).count() > 1
+    table.live(now).filter(|other| other.peer.has_disk).count() > 1
 }
 
 /// Fetches a plan from a peer and puts it in force if it is newer.
--- a/src/node/recall.rs
+++ b/src/node/recall.rs
@@ -247,8 +247,8 @@
     let table = node.mesh.get()?.table();
     // Nodes on standby know no more than this node.
     let live = table.members(node.gateway.timer.now());
-    let eligible = live.filter(|peer| peer.peer.has_disk || !with_disk);
-    eligible.map(|peer| peer.ip()).choose(&mut rand::rng())
+    let eligible = live.filter(|other| other.peer.has_disk || !with_disk);
+    eligible.map(|other| other.ip()).choose(&mut rand::rng())
 }
 
 async fn fetch_caches(
--- a/tests/all/nodes.rs
+++ b/tests/all/nodes.rs
@@ -219,9 +219,9 @@
     }
 }
 
-/// Guards against a node that refuses requests because its disk fails. The
-/// data folder is unusable at first. The node serves in the meantime, and
-/// votes once the folder is usable.
+/// Guards against a node that stops serving requests because its disk is full.
+/// The data folder is unusable at first and usable later. The node serves all
+/// the time, and votes once the folder is usable.
 #[tokio::test]
 async fn a_node_serves_without_its_disk() {
     let mut site = Site::open(4, 0).await;
