--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -95,7 +95,7 @@
     pub front: SocketAddrV4,
     /// The address for other nodes, over TCP and UDP. The port is the same on
     /// all VMs.
-    pub peers: SocketAddrV4,
+    pub peer_address: SocketAddrV4,
     /// Nodes to contact first.
     pub seeds: Vec<Ipv4Addr>,
     /// The data centre of this VM.
@@ -106,7 +106,7 @@
     /// Whether this node creates the cluster if its folder is empty.
     pub founds: bool,
     /// Number of members that may lose their disks at the same time.
-    pub tolerance: usize,
+    pub survivable_disk_losses: usize,
     /// Bandwidth of this VM's link in Mbit/s, or 0 if unknown.
     pub link_mbps: u32,
     /// Configuration of the gateway.
@@ -176,10 +176,10 @@
     ));
     let seat = options.folder.clone().map(|folder| {
         let options = seat::Options {
-            address: options.peers,
+            address: options.peer_address,
             folder,
             founds: options.founds,
-            least_voters: 2 * options.tolerance + 1,
+            least_voters: 2 * options.survivable_disk_losses + 1,
         };
         seat::spawn(options, timer.clone())
     });
@@ -187,10 +187,10 @@
     if !options.founds {
         gateway.start_joining_quotas();
     }
-    let port = options.peers.port();
+    let port = options.peer_address.port();
     let seeds: Vec<SocketAddr> =
         options.seeds.iter().map(|ip| (*ip, port).into()).collect();
-    let first = seeds.first().copied().unwrap_or(options.peers.into());
+    let first = seeds.first().copied().unwrap_or(options.peer_address.into());
     let control = Client::open(&[first]);
     control.set_members(&seeds);
     let node = Arc::new(Node {
@@ -212,18 +212,19 @@
         tasks: Mutex::new(Vec::new()),
         duties: Mutex::new(None),
     });
-    let listener = TcpListener::bind(SocketAddr::V4(options.peers)).await?;
+    let listener =
+        TcpListener::bind(SocketAddr::V4(options.peer_address)).await?;
     let mesh = mesh::bind(
         mesh::Options {
             me: Peer {
-                ip: (*options.peers.ip()).into(),
+                ip: (*options.peer_address.ip()).into(),
                 incarnation: random_id(),
                 data_centre: options.data_centre.clone(),
                 has_disk: seat.is_some(),
                 link_mbps: options.link_mbps,
                 ..Peer::default()
             },
-            listen: options.peers,
+            listen: options.peer_address,
             seeds: options.seeds.clone(),
         },
         timer.clone(),
@@ -260,7 +261,7 @@
             node.clone(),
             seat.clone(),
         )));
-        let tools = duty::Context {
+        let context = duty::Context {
             seat: seat.clone(),
             control: node.control.clone(),
             mesh,
@@ -268,7 +269,7 @@
             cloud: options.cloud.clone(),
             timer,
         };
-        *lock(&node.duties) = Some(duty::spawn(options.duties, tools));
+        *lock(&node.duties) = Some(duty::spawn(options.duties, context));
     }
     *lock(&node.tasks) = tasks;
     info!(
@@ -287,7 +288,7 @@
 /// Most of the grace period has to remain for the answers. A stream that was
 /// accepted three seconds into a grace period of eight, and waited two seconds
 /// for its replica, was cut off in the middle when the process had to exit.
-pub fn linger(grace: Duration) -> Duration {
+pub fn accept_duration(grace: Duration) -> Duration {
     MAX_ACCEPT_DURATION.min(grace.mul_f64(MAX_ACCEPT_SHARE))
 }
 
@@ -346,12 +347,12 @@
     /// Returns a VM that can send `bytes` bytes to an operator much faster
     /// than this VM, if the transfer would take long here and such a VM is
     /// known.
-    pub fn faster_reader(&self, bytes: usize) -> Option<Ipv4Addr> {
-        self.node.faster_reader(bytes)
+    pub fn redirect_target(&self, bytes: usize) -> Option<Ipv4Addr> {
+        self.node.redirect_target(bytes)
     }
 
     /// Applies a replica's heartbeat.
-    pub fn sight(&self, says: Sighting) {
+    pub fn apply_heartbeat(&self, says: Sighting) {
         let node = &self.node;
         let Some(mesh) = node.mesh.get() else { return };
         let now = node.gateway.timer.now();
@@ -380,7 +381,11 @@
     ///
     /// Logs at most one line a second, because a faulty sender may send any
     /// number of them.
-    pub fn note_unreadable(&self, whose: &str, why: &dyn fmt::Display) {
+    pub fn record_unreadable_heartbeat(
+        &self,
+        whose: &str,
+        why: &dyn fmt::Display,
+    ) {
         let node = &self.node;
         let unreadable = node.gateway.metrics.unreadable.inc() + 1;
         let now = Instant::now();
@@ -431,7 +436,7 @@
         // Duties stop first, because a successor only waits until this node's
         // lease has expired.
         *lock(&node.duties) = None;
-        sleep(linger(grace)).await;
+        sleep(accept_duration(grace)).await;
         if let Some(server) = server {
             let left = end.saturating_duration_since(Instant::now());
             server.shutdown(left).await;
--- a/src/node/plan.rs
+++ b/src/node/plan.rs
@@ -65,14 +65,14 @@
     /// The plan is invalid. Sending it again fails in the same way.
     Invalid(Invalid),
     /// Control rejected the plan or did not answer.
-    Away(Verdict, String),
+    NotConfirmed(Verdict, String),
 }
 
 impl fmt::Display for PutError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             PutError::Invalid(invalid) => invalid.fmt(out),
-            PutError::Away(verdict, text) => {
+            PutError::NotConfirmed(verdict, text) => {
                 write!(out, "{}: {text}", verdict.as_str())
             }
         }
@@ -100,13 +100,13 @@
         Ok(PutPlan { version: plan.version, source })
     }
 
-    /// See [`super::Handle::faster_reader`]. Returns the leader, which has
+    /// See [`super::Handle::redirect_target`]. Returns the leader, which has
     /// just confirmed the newest plan, if its link is fast enough.
     ///
     /// Without the redirect, operators can read a plan of a megabyte only at
     /// VMs with fast links, which are one in fifteen. Every node holds the
     /// plan, but sending it takes a second over ten megabits.
-    pub(super) fn faster_reader(&self, bytes: usize) -> Option<Ipv4Addr> {
+    pub(super) fn redirect_target(&self, bytes: usize) -> Option<Ipv4Addr> {
         let table = self.mesh.get()?.table();
         let own = table.own_peer();
         let bits = bytes as u64 * 8;
@@ -162,7 +162,7 @@
         let change = Change::new(change::Kind::PutPlan(record));
         let outcome = self.control.propose(change, PUT_TIMEOUT, true).await;
         let outcome = outcome.map_err(|error| {
-            PutError::Away(error.verdict(), error.to_string())
+            PutError::NotConfirmed(error.verdict(), error.to_string())
         })?;
         match outcome.kind {
             Some(outcome::Kind::Plan(PlanOutcome { version: held }))
@@ -180,7 +180,7 @@
             }
             _ => {
                 let text = "control gave no outcome".to_owned();
-                Err(PutError::Away(Verdict::MayHaveRun, text))
+                Err(PutError::NotConfirmed(Verdict::MayHaveRun, text))
             }
         }
     }
@@ -251,7 +251,7 @@
     let held = node.gateway.plan_version();
     let leader = *seat::address_of(table.own_peer().leader).ip();
     let now = node.gateway.timer.now();
-    let newer = table.live(now).filter(|peer| peer.peer.plan_version > held);
+    let newer = table.live(now).filter(|other| other.peer.plan_version > held);
     let (leader, others): (Vec<_>, Vec<_>) =
         newer.map(table::Node::ip).partition(|ip| *ip == leader);
     (others, leader.first().copied())
@@ -261,7 +261,7 @@
     let Some(mesh) = node.mesh.get() else { return false };
     let table = mesh.table();
     let now = node.gateway.timer.now();
-    table.live(now).filter(|peer| peer.peer.has_disk).count() > 1
+    table.live(now).filter(|other| other.peer.has_disk).count() > 1
 }
 
 /// Fetches a plan from a peer and puts it in force if it is newer.
--- a/tests/all/endings.rs
+++ b/tests/all/endings.rs
@@ -99,7 +99,8 @@
                 .map(next_heartbeat)
                 .collect();
             for (number, says) in says.into_iter().enumerate() {
-                self.nodes[(at + number) % self.nodes.len()].sight(says);
+                self.nodes[(at + number) % self.nodes.len()]
+                    .apply_heartbeat(says);
             }
             sleep(HEARTBEAT_INTERVAL).await;
         }
@@ -276,7 +277,7 @@
     ) -> Service {
         let site = Site::open(3, others).await;
         apply_plan(site.node(0), 1).await;
-        site.all_serve().await;
+        site.wait_until_all_serve().await;
         let shared = Arc::new(Shared {
             after_crash,
             nodes: site.nodes().cloned().collect(),
--- a/tests/all/nodes.rs
+++ b/tests/all/nodes.rs
@@ -29,7 +29,7 @@
 /// A cluster of nodes under test.
 pub struct Site {
     /// Number of members that may lose their disks at the same time.
-    tolerance: usize,
+    survivable_disk_losses: usize,
     ips: Vec<Ipv4Addr>,
     folders: Vec<Option<TempFolder>>,
     nodes: Vec<Option<node::Handle>>,
@@ -44,13 +44,13 @@
     async fn open_with_tolerance(
         disks: usize,
         others: usize,
-        tolerance: usize,
+        survivable_disk_losses: usize,
     ) -> Site {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let net = NEXT.fetch_add(1, Ordering::Relaxed);
         let count = disks + others;
         let mut site = Site {
-            tolerance,
+            survivable_disk_losses,
             ips: (0..count as u32)
                 .map(|at| Ipv4Addr::from(0x7f58_0001 + (net << 8) + at))
                 .collect(),
@@ -70,7 +70,7 @@
         let options = node::Options {
             folder: folder.map(|folder| folder.0.clone()),
             founds: first && at == 0,
-            tolerance: self.tolerance,
+            survivable_disk_losses: self.survivable_disk_losses,
             ..options(self.ips[at], PORT, &self.ips[..3])
         };
         let started = async {
@@ -123,7 +123,7 @@
         timeout(STEP_TIMEOUT, read).await.expect("no majority answers")
     }
 
-    async fn all_know_caches(&self, when: &str) {
+    async fn wait_until_all_know_caches(&self, when: &str) {
         let known = async {
             while self
                 .nodes
@@ -137,7 +137,7 @@
         timeout(STEP_TIMEOUT, known).await.expect(when);
     }
 
-    pub async fn all_serve(&self) {
+    pub async fn wait_until_all_serve(&self) {
         let serve = async {
             let running = || self.nodes.iter().flatten();
             while !running().all(|node| {
@@ -157,7 +157,7 @@
 async fn a_plan_is_in_force_everywhere() {
     let site = Site::open(4, 2).await;
     apply_plan(site.node(5), 3).await;
-    site.all_serve().await;
+    site.wait_until_all_serve().await;
     for at in 0..6 {
         assert_eq!(site.read(at).await, 3);
     }
@@ -174,7 +174,7 @@
 async fn a_second_disk_may_be_lost_once_the_first_is_back() {
     let mut site = Site::open(4, 0).await;
     apply_plan(site.node(0), 1).await;
-    site.all_serve().await;
+    site.wait_until_all_serve().await;
     for (round, lost) in [0, 1, 2].into_iter().enumerate() {
         let version = 10 + round as u64;
         apply_plan(site.node(3), version).await;
@@ -202,7 +202,7 @@
     for at in 0..4 {
         assert_eq!(site.read(at).await, 5);
     }
-    site.all_serve().await;
+    site.wait_until_all_serve().await;
 }
 
 /// Guards against a second cluster beside the first. The founder's disk is
@@ -219,9 +219,9 @@
     }
 }
 
-/// Guards against a node that refuses requests because its disk fails. The
-/// data folder is unusable at first. The node serves in the meantime, and
-/// votes once the folder is usable.
+/// Guards against a node that stops serving requests because its disk is full.
+/// The data folder is unusable at first and usable later. The node serves all
+/// the time, and votes once the folder is usable.
 #[tokio::test]
 async fn a_node_serves_without_its_disk() {
     let mut site = Site::open(4, 0).await;
@@ -232,7 +232,7 @@
     std::fs::rename(&path, &aside).unwrap();
     std::fs::write(&path, "not a folder").unwrap();
     site.start(3, false).await;
-    site.all_serve().await;
+    site.wait_until_all_serve().await;
     apply_plan(site.node(3), 2).await;
     std::fs::remove_file(&path).unwrap();
     std::fs::rename(&aside, &path).unwrap();
@@ -250,19 +250,20 @@
 async fn cached_parts_are_known_after_one_or_all_nodes_restart() {
     let mut site = Site::open(3, 1).await;
     apply_plan(site.node(3), 1).await;
-    site.all_serve().await;
+    site.wait_until_all_serve().await;
     let replica = Replica::spawn(|_| ok("fine")).await;
-    site.node(3).sight(sighting("r", replica.address, 0));
+    site.node(3).apply_heartbeat(sighting("r", replica.address, 0));
     let front = site.node(3).front().unwrap();
     let mut client = TcpStream::connect(front).await.unwrap();
     let request = "GET /again/x HTTP/1.1\r\nHost: here\r\n\
                    Tokens: 1500\r\nParts: 7:900,8:600\r\n\r\n";
     client.write_all(request.as_bytes()).await.unwrap();
     read_answer(&mut client).await;
-    site.all_know_caches("not all nodes know the cached parts").await;
+    site.wait_until_all_know_caches("not all nodes know the cached parts")
+        .await;
     site.stop(3).await;
     site.start(3, false).await;
-    site.all_know_caches("unknown after one node restarted").await;
+    site.wait_until_all_know_caches("unknown after one node restarted").await;
     let saved = site.folders[0].as_ref().unwrap().0.join("memory");
     let written = async {
         // The file contains the replica's hash once it contains a cached part.
@@ -282,7 +283,7 @@
     for at in 0..4 {
         site.start(at, false).await;
     }
-    site.all_know_caches("unknown after all nodes restarted").await;
+    site.wait_until_all_know_caches("unknown after all nodes restarted").await;
 }
 
 /// Guards against cutting a caller's stream in the middle at a planned stop.
@@ -294,7 +295,7 @@
 fn a_stopping_node_leaves_most_of_its_time_for_answers() {
     for seconds in [1, 2, 4, 8, 30] {
         let grace = Duration::from_secs(seconds);
-        let left = grace - node::linger(grace);
+        let left = grace - node::accept_duration(grace);
         assert!(left >= grace.mul_f64(0.625), "{left:?} of {grace:?}");
     }
 }
@@ -306,9 +307,9 @@
 async fn replicas_are_known_at_once_after_all_have_restarted() {
     let mut site = Site::open(3, 1).await;
     apply_plan(site.node(3), 1).await;
-    site.all_serve().await;
+    site.wait_until_all_serve().await;
     let replica = Replica::spawn(|_| ok("fine")).await;
-    site.node(3).sight(sighting("r", replica.address, 0));
+    site.node(3).apply_heartbeat(sighting("r", replica.address, 0));
     let saved: Vec<_> = site
         .folders
         .iter()
@@ -383,7 +384,7 @@
 async fn acknowledged_plans_survive_disk_losses_during_a_power_loss() {
     let mut site = Site::open_with_tolerance(5, 2, 2).await;
     apply_plan(site.node(6), 1).await;
-    site.all_serve().await;
+    site.wait_until_all_serve().await;
     for (round, lost) in [[0, 1], [2, 3], [4, 0]].into_iter().enumerate() {
         let version = 10 + round as u64;
         apply_plan(site.node(5), version).await;
--- a/tests/all/world.rs
+++ b/tests/all/world.rs
@@ -11,7 +11,7 @@
 
 use azuremount::{
     decide::{quota::Tolerance, retry::Bound},
-    duty::{self, Badge, Cloud, Order},
+    duty::{self, Cloud, FencingToken, Order},
     gateway::{
         self, UsageWindow,
         dialect::{AnswerInfo, AttemptInfo, Dialect, Limit, RequestInfo},
@@ -105,13 +105,17 @@
 impl Cloud for NullCloud {
     async fn report(
         &self,
-        _: &Badge,
+        _: &FencingToken,
         _: &RecordUsage,
     ) -> Result<(), duty::Error> {
         Ok(())
     }
 
-    async fn order(&self, _: &Badge, _: &Order) -> Result<(), duty::Error> {
+    async fn order(
+        &self,
+        _: &FencingToken,
+        _: &Order,
+    ) -> Result<(), duty::Error> {
         Ok(())
     }
 }
@@ -173,12 +177,12 @@
 pub fn options(ip: Ipv4Addr, port: u16, seeds: &[Ipv4Addr]) -> node::Options {
     node::Options {
         front: SocketAddrV4::new(ip, 0),
-        peers: SocketAddrV4::new(ip, port),
+        peer_address: SocketAddrV4::new(ip, port),
         seeds: seeds.to_vec(),
         data_centre: "one".to_owned(),
         folder: None,
         founds: false,
-        tolerance: 0,
+        survivable_disk_losses: 0,
         link_mbps: 0,
         gateway: gateway::Options {
             data_centre: "one".to_owned(),
@@ -246,7 +250,7 @@
             sleep(Duration::from_millis(10)).await;
         }
         for (id, address) in replicas {
-            node.sight(sighting(id, *address, 0));
+            node.apply_heartbeat(sighting(id, *address, 0));
         }
         let front = node.front().unwrap();
         TestNode { node, front, _folder: folder }
