--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -159,7 +159,7 @@
         "owner": owner,
         "outcome": outcome,
         "pieces": record.len(),
-        "decisions": record.notes(),
+        "decisions": record.decisions(),
     });
     Ok(Response::json(StatusCode::OK, &body))
 }
--- a/src/entry/requests.rs
+++ b/src/entry/requests.rs
@@ -94,7 +94,7 @@
     pub deadline: u64,
     content: Mutex<Content>,
     changed: watch::Sender<u64>,
-    notes: Mutex<Vec<String>>,
+    decisions: Mutex<Vec<String>>,
 }
 
 /// Part of an answer, as read from an offset.
@@ -123,17 +123,18 @@
 
     /// Logs a decision, for `azuremount explain`.
     pub fn log_decision(&self, text: String) {
-        let mut notes =
-            self.notes.lock().unwrap_or_else(|held| held.into_inner());
-        if notes.len() < MAX_DECISIONS {
-            notes.push(text);
+        let mut decisions =
+            self.decisions.lock().unwrap_or_else(|held| held.into_inner());
+        if decisions.len() < MAX_DECISIONS {
+            decisions.push(text);
         }
     }
 
     /// Returns the logged decisions, oldest first.
-    pub fn notes(&self) -> Vec<String> {
-        let notes = self.notes.lock().unwrap_or_else(|held| held.into_inner());
-        notes.clone()
+    pub fn decisions(&self) -> Vec<String> {
+        let decisions =
+            self.decisions.lock().unwrap_or_else(|held| held.into_inner());
+        decisions.clone()
     }
 
     /// Returns the owner of the request.
@@ -385,7 +386,7 @@
                 ended_at: None,
             }),
             changed: watch::Sender::new(0),
-            notes: Mutex::new(Vec::new()),
+            decisions: Mutex::new(Vec::new()),
         }
     }
 }
