--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -292,5 +292,5 @@
     if peers::fetch(state, key, from).await.is_some() {
         return Ok(stream_remote(state, key.to_owned(), from));
     }
-    plain::reread(state, key).await
+    plain::read_settled(state, key).await
 }
--- a/src/entry/plain.rs
+++ b/src/entry/plain.rs
@@ -127,7 +127,10 @@
 /// Fails if the key is unknown, the request is still running, its owner has
 /// crashed, its outcome is unknown, its answer was too large to keep, or
 /// control does not answer.
-pub async fn reread(state: &Shared, key: &str) -> Result<Response, Refusal> {
+pub async fn read_settled(
+    state: &Shared,
+    key: &str,
+) -> Result<Response, Refusal> {
     let outcome = look_up(state, key).await?;
     match claim_state(&outcome) {
         claim_outcome::State::Settled => read_answer(&outcome),
