--- a/benches/control.rs
+++ b/benches/control.rs
@@ -30,7 +30,7 @@
     },
     wire::{Change, Claim, LogEntry, change},
 };
-use cluster::{Cluster, LONG, Role, Shape};
+use cluster::{Cluster, Role, Shape, TEST_TIMEOUT};
 use prost::Message;
 
 const BASE: &str = r#"
@@ -114,7 +114,7 @@
         next += 1;
         let started_at = Instant::now();
         let change = claim(next);
-        let proposed = client.propose(change, LONG, true);
+        let proposed = client.propose(change, TEST_TIMEOUT, true);
         cluster.runtime.block_on(proposed).expect("a claim");
         started_at.elapsed().as_secs_f64() * 1e3
     };
@@ -139,7 +139,8 @@
                             let key =
                                 1_000_000 * clients + 1000 * task + number;
                             let change = claim(key);
-                            let done = client.propose(change, LONG, true);
+                            let done =
+                                client.propose(change, TEST_TIMEOUT, true);
                             done.await.expect("a claim");
                         }
                     })
@@ -188,7 +189,7 @@
         let started_at = Instant::now();
         let change = claim(9_000_000_000 + number);
         let client = cluster.control();
-        let proposed = client.propose(change, LONG, true);
+        let proposed = client.propose(change, TEST_TIMEOUT, true);
         cluster.runtime.block_on(proposed).expect("a claim");
         times.push(started_at.elapsed().as_secs_f64() * 1e3);
         cluster.start(&leader);
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -30,7 +30,7 @@
     entry::dispatch::{Call, Dispatcher},
     wire::{apply_outcome, change, outcome},
 };
-use cluster::{Cluster, LONG, Role, Shape};
+use cluster::{Cluster, Role, Shape, TEST_TIMEOUT};
 use eventsource_stream::Eventsource;
 use futures_util::StreamExt;
 use http::{HeaderMap, HeaderValue, Method};
@@ -173,7 +173,7 @@
     let started_at = Instant::now();
     let mut first = None;
     let mut is_complete = false;
-    if let Ok(response) = dispatcher.open_raw(call, LONG).await {
+    if let Ok(response) = dispatcher.open_raw(call, TEST_TIMEOUT).await {
         let mut events =
             BodyDataStream::new(response.into_body()).eventsource();
         while let Some(Ok(event)) = events.next().await {
--- a/tests/all/cluster.rs
+++ b/tests/all/cluster.rs
@@ -33,7 +33,7 @@
 
 /// Timeout of waits and calls, long enough that a busy machine does not fail
 /// a test.
-pub const LONG: Duration = Duration::from_secs(60);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 const PORT: u16 = 7700;
 const PEER_PORT: u16 = 7701;
 
@@ -383,7 +383,7 @@
 
     /// Waits until a process exits by itself and returns its exit code.
     pub fn wait_end(&mut self, name: &str) -> Option<i32> {
-        let deadline = Instant::now() + LONG;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         while Instant::now() < deadline {
             let ended = self.child(name).try_wait().expect("a status");
             if let Some(status) = ended {
@@ -483,13 +483,13 @@
     pub fn propose(&self, kind: change::Kind) -> Result<Outcome, Error> {
         let client = self.control();
         let change = Change::new(kind);
-        self.runtime.block_on(client.propose(change, LONG, true))
+        self.runtime.block_on(client.propose(change, TEST_TIMEOUT, true))
     }
 
     pub fn query(&self, kind: query::Kind) -> Result<QueryReply, Error> {
         let client = self.control();
         let query = Query { kind: Some(kind) };
-        self.runtime.block_on(client.read(query, LONG))
+        self.runtime.block_on(client.read(query, TEST_TIMEOUT))
     }
 
     pub fn status(&self) -> StatusReply {
@@ -544,7 +544,7 @@
     /// Polls until a condition holds. Panics with its name if it does not hold
     /// in time.
     pub fn wait(&self, what: &str, mut holds: impl FnMut(&Cluster) -> bool) {
-        let deadline = Instant::now() + LONG;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         while !holds(self) {
             if Instant::now() > deadline {
                 for name in self.processes.keys() {
@@ -577,7 +577,7 @@
             headers: map,
             body: Bytes::from(body.to_owned()),
         };
-        self.runtime.block_on(self.dispatcher.exchange(call, LONG))
+        self.runtime.block_on(self.dispatcher.exchange(call, TEST_TIMEOUT))
     }
 
     pub fn get(&self, name: &str, path: &str) -> serde_json::Value {
--- a/tests/all/scenario.rs
+++ b/tests/all/scenario.rs
@@ -20,7 +20,7 @@
 use serde_json::{Value, json};
 
 use super::{
-    cluster::{Cluster, LONG, Role, Shape},
+    cluster::{Cluster, Role, Shape, TEST_TIMEOUT},
     steps::Step,
 };
 
@@ -187,7 +187,7 @@
             }
             Step::Outcome(key) => {
                 let ended = self.background.remove(key);
-                Ok(ended.ok_or("no such call")?.recv_timeout(LONG)?)
+                Ok(ended.ok_or("no such call")?.recv_timeout(TEST_TIMEOUT)?)
             }
             Step::Reread { key, entry } => {
                 let path = format!("/v1/requests/{key}");
@@ -320,8 +320,8 @@
         let [one, two] = changes.map(azuremount::wire::Change::new);
         let (one, two) = cluster.runtime.block_on(async {
             tokio::join!(
-                clients[0].propose(one, LONG, true),
-                clients[1].propose(two, LONG, true)
+                clients[0].propose(one, TEST_TIMEOUT, true),
+                clients[1].propose(two, TEST_TIMEOUT, true)
             )
         });
         let mut outcomes = [format_applied(one)?, format_applied(two)?];
@@ -385,7 +385,7 @@
             key: Some(key),
             body: "UV 11".into(),
         };
-        let answer = cluster.runtime.block_on(caller.call(call, LONG));
+        let answer = cluster.runtime.block_on(caller.call(call, TEST_TIMEOUT));
         Ok(format_answer(answer))
     }
 
@@ -412,7 +412,7 @@
         self.background.insert(key.to_owned(), ended);
         self.cluster().runtime.spawn(async move {
             let dispatcher = azuremount::entry::dispatch::Dispatcher::open();
-            let answer = dispatcher.exchange(call, LONG).await;
+            let answer = dispatcher.exchange(call, TEST_TIMEOUT).await;
             let _ = send.send(format_answer(answer));
         });
         Ok(String::new())
@@ -438,7 +438,8 @@
             let on_piece = |_: &str| {
                 let _ = first_piece_sender.send(());
             };
-            let result = caller.chat(&body, &key, LONG, on_piece).await;
+            let result =
+                caller.chat(&body, &key, TEST_TIMEOUT, on_piece).await;
             let _ = send.send(match result {
                 Ok(text) if text == wanted => {
                     format!("whole answer, {tokens} pieces")
@@ -450,7 +451,7 @@
             });
         });
         // The scenario continues once the first piece has arrived.
-        first_piece.recv_timeout(LONG)?;
+        first_piece.recv_timeout(TEST_TIMEOUT)?;
         Ok(String::new())
     }
 
