--- a/benches/control.rs
+++ b/benches/control.rs
@@ -30,7 +30,7 @@
     },
     wire::{Change, Claim, LogEntry, change},
 };
-use cluster::{Cluster, Role, Shape, TEST_TIMEOUT};
+use cluster::{Cluster, ClusterSpec, Role, TEST_TIMEOUT};
 use prost::Message;
 
 const BASE: &str = r#"
@@ -52,7 +52,7 @@
 "#;
 
 fn open(controls: u8, entries: u8, models: u8) -> Cluster {
-    let mut cluster = Cluster::open(Shape {
+    let mut cluster = Cluster::open(ClusterSpec {
         controls,
         entries,
         models,
--- a/benches/forward.rs
+++ b/benches/forward.rs
@@ -31,7 +31,7 @@
 
 use azuremount::http_server::{self, Payload, Piece, Response};
 use bytes::Bytes;
-use cluster::{Cluster, Shape};
+use cluster::{Cluster, ClusterSpec};
 use http::{Method, Request};
 use http_body_util::{BodyExt, Full};
 use hyper_util::{
@@ -227,7 +227,7 @@
     let flags = ["--slots", "1000", "--piece-ms", "0", "--prefill-us", "0"]
         .map(str::to_owned)
         .to_vec();
-    let mut cluster = Cluster::open(Shape {
+    let mut cluster = Cluster::open(ClusterSpec {
         controls: 1,
         entries: 1,
         models: 1,
--- a/benches/policy.rs
+++ b/benches/policy.rs
@@ -30,7 +30,7 @@
     entry::dispatch::{Call, Dispatcher},
     wire::{apply_outcome, change, outcome},
 };
-use cluster::{Cluster, Role, Shape, TEST_TIMEOUT};
+use cluster::{Cluster, ClusterSpec, Role, TEST_TIMEOUT};
 use eventsource_stream::Eventsource;
 use futures_util::StreamExt;
 use http::{HeaderMap, HeaderValue, Method};
@@ -239,7 +239,7 @@
     let (rate, seconds) =
         (parse_argument(3, 30.0), parse_argument(4, 20.0) as u64);
     let sites = ["a", "b", "c", "d"].map(str::to_owned).to_vec();
-    let cluster = Cluster::open(Shape {
+    let cluster = Cluster::open(ClusterSpec {
         controls: 3,
         entries,
         models: engines,
@@ -310,7 +310,7 @@
     rate: f64,
     seconds: u64,
 ) {
-    cluster.shape.base = base(workload, policy);
+    cluster.spec.base = base(workload, policy);
     let config = cluster.config(&format!("bench-{revision}"), revision, 8000);
     let applied = cluster.propose(change::Kind::Apply(config));
     let Some(outcome::Kind::Apply(applied)) = applied.expect("ok").kind else {
--- a/tests/all/cluster.rs
+++ b/tests/all/cluster.rs
@@ -2,7 +2,7 @@
 //!
 //! Each process has its own address in 127.0.0.0/8 and keeps it across
 //! restarts. Links between processes go through a [`Relay`], except that
-//! entries may connect to endpoints directly ([`Shape::relay_endpoints`]).
+//! entries may connect to endpoints directly ([`ClusterSpec::relay_endpoints`]).
 
 use std::{
     collections::BTreeMap,
@@ -60,7 +60,7 @@
 
 /// Processes, configuration and flags of a cluster.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct ClusterSpec {
     pub controls: u8,
     pub entries: u8,
     pub models: u8,
@@ -76,7 +76,7 @@
 
 pub struct Cluster {
     pub runtime: Runtime,
-    pub shape: Shape,
+    pub spec: ClusterSpec,
     pub dispatcher: Dispatcher,
     folder: PathBuf,
     network: (u8, u8),
@@ -121,7 +121,7 @@
 
 impl Cluster {
     /// Starts all processes.
-    pub fn open(shape: Shape) -> Cluster {
+    pub fn open(spec: ClusterSpec) -> Cluster {
         let network = free_network();
         let folder = std::env::temp_dir().join(format!(
             "azuremount-test-{}-{}-{}",
@@ -137,7 +137,7 @@
             .expect("a runtime");
         let mut cluster = Cluster {
             runtime,
-            shape: shape.clone(),
+            spec: spec.clone(),
             dispatcher: Dispatcher::open(),
             folder,
             network,
@@ -145,10 +145,10 @@
             links: BTreeMap::new(),
         };
         for (role, count, flags) in [
-            (Role::Control, shape.controls, &shape.control_flags),
-            (Role::Entry, shape.entries, &Vec::new()),
-            (Role::Model, shape.models, &shape.model_flags),
-            (Role::Plain, shape.plains, &shape.plain_flags),
+            (Role::Control, spec.controls, &spec.control_flags),
+            (Role::Entry, spec.entries, &Vec::new()),
+            (Role::Model, spec.models, &spec.model_flags),
+            (Role::Plain, spec.plains, &spec.plain_flags),
         ] {
             for number in 1..=count {
                 let extra = flags.clone();
@@ -214,8 +214,8 @@
     }
 
     pub fn site(&self, number: u8) -> String {
-        let at = (number as usize - 1) % self.shape.sites.len();
-        self.shape.sites[at].clone()
+        let at = (number as usize - 1) % self.spec.sites.len();
+        self.spec.sites[at].clone()
     }
 
     /// Starts a process and waits until it listens.
@@ -267,7 +267,7 @@
                     _ => ("plain", "alerts"),
                 };
                 let runs = self.folder.join("runs");
-                let advertise = match self.shape.relay_endpoints {
+                let advertise = match self.spec.relay_endpoints {
                     true => self.link(ENTRIES, name),
                     false => self.address(name),
                 };
@@ -382,7 +382,7 @@
     }
 
     /// Waits until a process exits by itself and returns its exit code.
-    pub fn wait_end(&mut self, name: &str) -> Option<i32> {
+    pub fn wait_for_exit(&mut self, name: &str) -> Option<i32> {
         let deadline = Instant::now() + TEST_TIMEOUT;
         while Instant::now() < deadline {
             let ended = self.child(name).try_wait().expect("a status");
@@ -526,10 +526,10 @@
     ) -> ApplyConfig {
         let file = |name: String, text: String| SourceFile { name, text };
         let base = self
-            .shape
+            .spec
             .base
             .replace("[system]", &format!("[system]\ndrain_ms = {drain}"));
-        let overlays = self.shape.sites.iter().map(|site| {
+        let overlays = self.spec.sites.iter().map(|site| {
             let text = format!("site = \"{site}\"\n");
             file(format!("sites/{site}.toml"), text)
         });
--- a/tests/all/product.rs
+++ b/tests/all/product.rs
@@ -13,7 +13,7 @@
 use serde_json::json;
 
 use super::{
-    cluster::{Cluster, Shape},
+    cluster::{Cluster, ClusterSpec},
     fixed_seeds,
     scenario::BASE,
 };
@@ -69,7 +69,7 @@
 }
 
 fn small_cluster() -> Cluster {
-    let mut cluster = Cluster::open(Shape {
+    let mut cluster = Cluster::open(ClusterSpec {
         controls: 1,
         entries: 1,
         models: 1,
@@ -310,6 +310,6 @@
     let mut cluster = small_cluster();
     for name in ["e1", "c1"] {
         cluster.hang_up(name);
-        assert_eq!(cluster.wait_end(name), Some(0), "{name}");
+        assert_eq!(cluster.wait_for_exit(name), Some(0), "{name}");
     }
 }
--- a/tests/all/scenario.rs
+++ b/tests/all/scenario.rs
@@ -20,7 +20,7 @@
 use serde_json::{Value, json};
 
 use super::{
-    cluster::{Cluster, Role, Shape, TEST_TIMEOUT},
+    cluster::{Cluster, ClusterSpec, Role, TEST_TIMEOUT},
     steps::Step,
 };
 
@@ -87,7 +87,7 @@
                 direct,
             } => {
                 let flags = endpoint_flags(*piece_ms, *within_ms);
-                self.open(Shape {
+                self.open(ClusterSpec {
                     controls: controls.unwrap_or(1),
                     entries: entries.unwrap_or(2),
                     models: models.unwrap_or(0),
@@ -158,7 +158,7 @@
                 cluster.silence_open_connections(name);
             }),
             Step::Ended(target) => {
-                let code = self.cluster().wait_end(target);
+                let code = self.cluster().wait_for_exit(target);
                 Ok(format!("exit code {}", code.unwrap_or(-1)))
             }
             Step::Apply { id, from, drain } => {
@@ -238,10 +238,10 @@
         self.cluster.as_mut().expect("a cluster")
     }
 
-    fn open(&mut self, shape: Shape) -> Answer {
-        let endpoints = shape.models + shape.plains;
-        let entries = shape.entries;
-        self.cluster = Some(Cluster::open(shape));
+    fn open(&mut self, spec: ClusterSpec) -> Answer {
+        let endpoints = spec.models + spec.plains;
+        let entries = spec.entries;
+        self.cluster = Some(Cluster::open(spec));
         self.apply("first", 0, 8000)?;
         self.wait("serving", &entries.to_string())?;
         self.wait("live", &endpoints.to_string())?;
