--- a/benches/control.rs
+++ b/benches/control.rs
@@ -255,7 +255,10 @@
         let leader = cluster.leader();
         let pids = [cluster.pid(&leader), cluster.pid("e1")];
         let before = pids.map(usage);
-        let bytes = [cluster.carried(&leader), cluster.carried_control("e1")];
+        let bytes = [
+            cluster.carried_bytes(&leader),
+            cluster.carried_control_bytes("e1"),
+        ];
         let started_at = Instant::now();
         let mut revision = cluster.status().revision;
         while started_at.elapsed() < Duration::from_secs(8) {
@@ -275,9 +278,9 @@
         println!(
             "{entries:7} {models:8} {changes:6} {:11.0} {:10.2} {:11.0} \
              {:10.2} {:9.1} {:9.1}",
-            rate(0, cluster.carried(&leader)),
+            rate(0, cluster.carried_bytes(&leader)),
             share(0),
-            rate(1, cluster.carried_control("e1")),
+            rate(1, cluster.carried_control_bytes("e1")),
             share(1),
             after[0].1,
             after[1].1,
--- a/tests/all/cluster.rs
+++ b/tests/all/cluster.rs
@@ -437,7 +437,7 @@
     }
 
     /// Returns the number of bytes sent over all links of a process.
-    pub fn carried(&self, name: &str) -> u64 {
+    pub fn carried_bytes(&self, name: &str) -> u64 {
         let links = self.links.iter();
         links
             .filter(|((from, to), _)| from == name || to == name)
@@ -447,7 +447,7 @@
 
     /// Returns the number of bytes sent over the links from a process to the
     /// control members.
-    pub fn carried_control(&self, name: &str) -> u64 {
+    pub fn carried_control_bytes(&self, name: &str) -> u64 {
         let links = self.links.iter();
         links
             .filter(|((from, to), _)| from == name && to.starts_with('c'))
