--- a/src/entry/plain.rs
+++ b/src/entry/plain.rs
@@ -124,8 +124,8 @@
 ///
 /// # Errors
 ///
-/// Fails if the key is unknown, the request is still running, its owner has
-/// crashed, its outcome is unknown, its answer was too large to keep, or
+/// Fails if the key is unknown, the request is still running, its owner is no
+/// longer listed, its outcome is unknown, its answer was too large to keep, or
 /// control does not answer.
 pub async fn read_settled(
     state: &Shared,
@@ -142,7 +142,7 @@
                 retry_after_ms: Some(200),
             })
         }
-        claim_outcome::State::Held => Err(owner_crashed()),
+        claim_outcome::State::Held => Err(owner_lost()),
         _ => Err(Refusal {
             status: StatusCode::NOT_FOUND,
             verdict: Verdict::MayHaveRun,
@@ -336,8 +336,8 @@
             }
         }
     }
-    // No endpoint ran the request, so the claim is released and the caller is
-    // answered without waiting for a late release: it only delays a retry.
+    // No endpoint ran the request, so the claim is released. The answer waits
+    // at most `SETTLE_TIMEOUT` for this: a late release only delays a retry.
     let freed = release(key, owner);
     let freed = settle_within(state, freed, SETTLE_TIMEOUT).await;
     let mut refusal = no_endpoint(Verdict::NotRun);
@@ -410,7 +410,7 @@
             }
             claim_outcome::State::Held => {
                 if !owner_lives(state, &outcome.owner) {
-                    return Err(owner_crashed());
+                    return Err(owner_lost());
                 }
             }
             // The claim was released: the request was not run, so the caller
@@ -432,7 +432,7 @@
     }
 }
 
-fn owner_crashed() -> Refusal {
+fn owner_lost() -> Refusal {
     let text = "the entry that ran it is gone; it will not be sent again";
     Refusal::doubtful(text)
 }
--- a/tests/all/cluster.rs
+++ b/tests/all/cluster.rs
@@ -2,7 +2,8 @@
 //!
 //! Each process has its own address in 127.0.0.0/8 and keeps it across
 //! restarts. Links between processes go through a [`Relay`], except that
-//! entries may connect to endpoints directly ([`ClusterSpec::relay_endpoints`]).
+//! entries may connect to endpoints directly: see
+//! [`ClusterSpec::relay_endpoints`].
 
 use std::{
     collections::BTreeMap,
