--- a/benches/control.rs
+++ b/benches/control.rs
@@ -30,7 +30,7 @@
     },
     wire::{Change, Claim, LogEntry, change},
 };
-use cluster::{Cluster, LONG, Role, Shape};
+use cluster::{Cluster, ClusterSpec, Role, TEST_TIMEOUT};
 use prost::Message;
 
 const BASE: &str = r#"
@@ -52,7 +52,7 @@
 "#;
 
 fn open(controls: u8, entries: u8, models: u8) -> Cluster {
-    let mut cluster = Cluster::open(Shape {
+    let mut cluster = Cluster::open(ClusterSpec {
         controls,
         entries,
         models,
@@ -114,7 +114,7 @@
         next += 1;
         let started_at = Instant::now();
         let change = claim(next);
-        let proposed = client.propose(change, LONG, true);
+        let proposed = client.propose(change, TEST_TIMEOUT, true);
         cluster.runtime.block_on(proposed).expect("a claim");
         started_at.elapsed().as_secs_f64() * 1e3
     };
@@ -139,7 +139,8 @@
                             let key =
                                 1_000_000 * clients + 1000 * task + number;
                             let change = claim(key);
-                            let done = client.propose(change, LONG, true);
+                            let done =
+                                client.propose(change, TEST_TIMEOUT, true);
                             done.await.expect("a claim");
                         }
                     })
@@ -188,7 +189,7 @@
         let started_at = Instant::now();
         let change = claim(9_000_000_000 + number);
         let client = cluster.control();
-        let proposed = client.propose(change, LONG, true);
+        let proposed = client.propose(change, TEST_TIMEOUT, true);
         cluster.runtime.block_on(proposed).expect("a claim");
         times.push(started_at.elapsed().as_secs_f64() * 1e3);
         cluster.start(&leader);
@@ -254,7 +255,10 @@
         let leader = cluster.leader();
         let pids = [cluster.pid(&leader), cluster.pid("e1")];
         let before = pids.map(usage);
-        let bytes = [cluster.carried(&leader), cluster.carried_control("e1")];
+        let bytes = [
+            cluster.carried_bytes(&leader),
+            cluster.carried_control_bytes("e1"),
+        ];
         let started_at = Instant::now();
         let mut revision = cluster.status().revision;
         while started_at.elapsed() < Duration::from_secs(8) {
@@ -274,9 +278,9 @@
         println!(
             "{entries:7} {models:8} {changes:6} {:11.0} {:10.2} {:11.0} \
              {:10.2} {:9.1} {:9.1}",
-            rate(0, cluster.carried(&leader)),
+            rate(0, cluster.carried_bytes(&leader)),
             share(0),
-            rate(1, cluster.carried_control("e1")),
+            rate(1, cluster.carried_control_bytes("e1")),
             share(1),
             after[0].1,
             after[1].1,
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -159,7 +159,7 @@
         "owner": owner,
         "outcome": outcome,
         "pieces": record.len(),
-        "decisions": record.notes(),
+        "decisions": record.decisions(),
     });
     Ok(Response::json(StatusCode::OK, &body))
 }
@@ -292,5 +292,5 @@
     if peers::fetch(state, key, from).await.is_some() {
         return Ok(stream_remote(state, key.to_owned(), from));
     }
-    plain::reread(state, key).await
+    plain::read_settled(state, key).await
 }
--- a/tests/all/cluster.rs
+++ b/tests/all/cluster.rs
@@ -2,7 +2,8 @@
 //!
 //! Each process has its own address in 127.0.0.0/8 and keeps it across
 //! restarts. Links between processes go through a [`Relay`], except that
-//! entries may connect to endpoints directly ([`Shape::relay_endpoints`]).
+//! entries may connect to endpoints directly: see
+//! [`ClusterSpec::relay_endpoints`].
 
 use std::{
     collections::BTreeMap,
@@ -33,7 +34,7 @@
 
 /// Timeout of waits and calls, long enough that a busy machine does not fail
 /// a test.
-pub const LONG: Duration = Duration::from_secs(60);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 const PORT: u16 = 7700;
 const PEER_PORT: u16 = 7701;
 
@@ -60,7 +61,7 @@
 
 /// Processes, configuration and flags of a cluster.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct ClusterSpec {
     pub controls: u8,
     pub entries: u8,
     pub models: u8,
@@ -76,7 +77,7 @@
 
 pub struct Cluster {
     pub runtime: Runtime,
-    pub shape: Shape,
+    pub spec: ClusterSpec,
     pub dispatcher: Dispatcher,
     folder: PathBuf,
     network: (u8, u8),
@@ -121,7 +122,7 @@
 
 impl Cluster {
     /// Starts all processes.
-    pub fn open(shape: Shape) -> Cluster {
+    pub fn open(spec: ClusterSpec) -> Cluster {
         let network = free_network();
         let folder = std::env::temp_dir().join(format!(
             "azuremount-test-{}-{}-{}",
@@ -137,7 +138,7 @@
             .expect("a runtime");
         let mut cluster = Cluster {
             runtime,
-            shape: shape.clone(),
+            spec: spec.clone(),
             dispatcher: Dispatcher::open(),
             folder,
             network,
@@ -145,10 +146,10 @@
             links: BTreeMap::new(),
         };
         for (role, count, flags) in [
-            (Role::Control, shape.controls, &shape.control_flags),
-            (Role::Entry, shape.entries, &Vec::new()),
-            (Role::Model, shape.models, &shape.model_flags),
-            (Role::Plain, shape.plains, &shape.plain_flags),
+            (Role::Control, spec.controls, &spec.control_flags),
+            (Role::Entry, spec.entries, &Vec::new()),
+            (Role::Model, spec.models, &spec.model_flags),
+            (Role::Plain, spec.plains, &spec.plain_flags),
         ] {
             for number in 1..=count {
                 let extra = flags.clone();
@@ -214,8 +215,8 @@
     }
 
     pub fn site(&self, number: u8) -> String {
-        let at = (number as usize - 1) % self.shape.sites.len();
-        self.shape.sites[at].clone()
+        let at = (number as usize - 1) % self.spec.sites.len();
+        self.spec.sites[at].clone()
     }
 
     /// Starts a process and waits until it listens.
@@ -267,7 +268,7 @@
                     _ => ("plain", "alerts"),
                 };
                 let runs = self.folder.join("runs");
-                let advertise = match self.shape.relay_endpoints {
+                let advertise = match self.spec.relay_endpoints {
                     true => self.link(ENTRIES, name),
                     false => self.address(name),
                 };
@@ -382,8 +383,8 @@
     }
 
     /// Waits until a process exits by itself and returns its exit code.
-    pub fn wait_end(&mut self, name: &str) -> Option<i32> {
-        let deadline = Instant::now() + LONG;
+    pub fn wait_for_exit(&mut self, name: &str) -> Option<i32> {
+        let deadline = Instant::now() + TEST_TIMEOUT;
         while Instant::now() < deadline {
             let ended = self.child(name).try_wait().expect("a status");
             if let Some(status) = ended {
@@ -437,7 +438,7 @@
     }
 
     /// Returns the number of bytes sent over all links of a process.
-    pub fn carried(&self, name: &str) -> u64 {
+    pub fn carried_bytes(&self, name: &str) -> u64 {
         let links = self.links.iter();
         links
             .filter(|((from, to), _)| from == name || to == name)
@@ -447,7 +448,7 @@
 
     /// Returns the number of bytes sent over the links from a process to the
     /// control members.
-    pub fn carried_control(&self, name: &str) -> u64 {
+    pub fn carried_control_bytes(&self, name: &str) -> u64 {
         let links = self.links.iter();
         links
             .filter(|((from, to), _)| from == name && to.starts_with('c'))
@@ -483,13 +484,13 @@
     pub fn propose(&self, kind: change::Kind) -> Result<Outcome, Error> {
         let client = self.control();
         let change = Change::new(kind);
-        self.runtime.block_on(client.propose(change, LONG, true))
+        self.runtime.block_on(client.propose(change, TEST_TIMEOUT, true))
     }
 
     pub fn query(&self, kind: query::Kind) -> Result<QueryReply, Error> {
         let client = self.control();
         let query = Query { kind: Some(kind) };
-        self.runtime.block_on(client.read(query, LONG))
+        self.runtime.block_on(client.read(query, TEST_TIMEOUT))
     }
 
     pub fn status(&self) -> StatusReply {
@@ -526,10 +527,10 @@
     ) -> ApplyConfig {
         let file = |name: String, text: String| SourceFile { name, text };
         let base = self
-            .shape
+            .spec
             .base
             .replace("[system]", &format!("[system]\ndrain_ms = {drain}"));
-        let overlays = self.shape.sites.iter().map(|site| {
+        let overlays = self.spec.sites.iter().map(|site| {
             let text = format!("site = \"{site}\"\n");
             file(format!("sites/{site}.toml"), text)
         });
@@ -544,7 +545,7 @@
     /// Polls until a condition holds. Panics with its name if it does not hold
     /// in time.
     pub fn wait(&self, what: &str, mut holds: impl FnMut(&Cluster) -> bool) {
-        let deadline = Instant::now() + LONG;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         while !holds(self) {
             if Instant::now() > deadline {
                 for name in self.processes.keys() {
@@ -577,7 +578,7 @@
             headers: map,
             body: Bytes::from(body.to_owned()),
         };
-        self.runtime.block_on(self.dispatcher.exchange(call, LONG))
+        self.runtime.block_on(self.dispatcher.exchange(call, TEST_TIMEOUT))
     }
 
     pub fn get(&self, name: &str, path: &str) -> serde_json::Value {
