--- a/src/entry/answers.rs
+++ b/src/entry/answers.rs
@@ -240,10 +240,10 @@
             ));
         }
         if !reply.failure.is_empty() {
-            return Err(Refusal::doubtful(reply.failure));
+            return Err(Refusal::may_have_run(reply.failure));
         }
     }
-    Err(Refusal::doubtful("its deadline has passed"))
+    Err(Refusal::may_have_run("its deadline has passed"))
 }
 
 fn record_response(record: &Record) -> Response {
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -57,7 +57,7 @@
     for name in [TEAM_HEADER, DEADLINE_HEADER, KEY_HEADER] {
         if request.repeats(name) {
             let text = format!("the header {name} stands there twice");
-            return Err(Refusal::bad(StatusCode::BAD_REQUEST, text));
+            return Err(Refusal::invalid(StatusCode::BAD_REQUEST, text));
         }
     }
     let parts: Vec<&str> =
@@ -87,7 +87,7 @@
         }
         _ => {
             let text = format!("nothing is at {} {path}", request.method);
-            Err(Refusal::bad(StatusCode::NOT_FOUND, text))
+            Err(Refusal::invalid(StatusCode::NOT_FOUND, text))
         }
     }
 }
@@ -140,7 +140,7 @@
 fn explain(state: &State, key: &str) -> Result<Response, Refusal> {
     let Some(record) = state.requests.get(key) else {
         let text = "this entry does not know the request";
-        return Err(Refusal::bad(StatusCode::NOT_FOUND, text));
+        return Err(Refusal::invalid(StatusCode::NOT_FOUND, text));
     };
     let owner = match record.owner() {
         Owner::Here => state.info.id.clone(),
@@ -174,24 +174,25 @@
 ) -> Result<(Caller, Service), Refusal> {
     if *state.board.draining.read() {
         let text = "this entry is stopping; use another one";
-        return Err(Refusal::later(text, 1));
+        return Err(Refusal::retryable(text, 1));
     }
     if !state.holds_lease() {
         let text = "this entry is cut off from control; use another one";
-        return Err(Refusal::later(text, 1));
+        return Err(Refusal::retryable(text, 1));
     }
     let config = state.board.config.read();
     let Some(in_force) = config.as_ref() else {
-        return Err(Refusal::later("there is no configuration yet", 1000));
+        return Err(Refusal::retryable("there is no configuration yet", 1000));
     };
-    let invalid = |text: String| Refusal::bad(StatusCode::BAD_REQUEST, text);
+    let invalid =
+        |text: String| Refusal::invalid(StatusCode::BAD_REQUEST, text);
     let Some(service) = in_force
         .config
         .service(service)
         .filter(|service| service.kind == kind)
     else {
         let text = format!("no such service: {service:?}");
-        return Err(Refusal::bad(StatusCode::NOT_FOUND, text));
+        return Err(Refusal::invalid(StatusCode::NOT_FOUND, text));
     };
     let Some(team) = request.header(TEAM_HEADER) else {
         return Err(invalid(format!("the header {TEAM_HEADER} is missing")));
@@ -246,7 +247,7 @@
 
 async fn chat(state: &Shared, request: Request) -> Result<Response, Refusal> {
     let chat = Chat::parse(&request.body)
-        .map_err(|text| Refusal::bad(StatusCode::BAD_REQUEST, text))?;
+        .map_err(|text| Refusal::invalid(StatusCode::BAD_REQUEST, text))?;
     let (caller, service) =
         check_request(state, &request, &chat.model, Kind::Model)?;
     let body = request.body.clone();
@@ -260,7 +261,7 @@
     };
     let record = match task.await {
         Ok(result) => result?,
-        Err(_) => return Err(Refusal::doubtful("the entry failed")),
+        Err(_) => return Err(Refusal::may_have_run("the entry failed")),
     };
     if chat.stream {
         Ok(stream_record(state, record, 0))
@@ -279,12 +280,12 @@
         None => 0,
         Some(text) => text.parse().map_err(|_| {
             let text = format!("from {text:?} is not a whole number");
-            Refusal::bad(StatusCode::BAD_REQUEST, text)
+            Refusal::invalid(StatusCode::BAD_REQUEST, text)
         })?,
     };
     if !is_valid_key(key) {
         let text = "that is not a key";
-        return Err(Refusal::bad(StatusCode::BAD_REQUEST, text));
+        return Err(Refusal::invalid(StatusCode::BAD_REQUEST, text));
     }
     if let Some(record) = state.requests.get(key) {
         return Ok(stream_record(state, record, from));
--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -33,10 +33,10 @@
     match state.control.propose(change, CLAIM_TIMEOUT, true).await {
         Ok(outcome) => match outcome.kind {
             Some(outcome::Kind::Claim(claim)) => Ok(claim),
-            _ => Err(Refusal::later("control gave no answer", 500)),
+            _ => Err(Refusal::retryable("control gave no answer", 500)),
         },
         // The claim may have been committed, but the request was not sent.
-        Err(failure) => Err(Refusal::later(failure.to_string(), 500)),
+        Err(failure) => Err(Refusal::retryable(failure.to_string(), 500)),
     }
 }
 
@@ -54,7 +54,8 @@
     match reply.map(|reply| reply.kind) {
         Ok(Some(query_reply::Kind::Claim(outcome))) => Ok(outcome),
         _ => {
-            let mut refusal = Refusal::later("control did not answer", 500);
+            let mut refusal =
+                Refusal::retryable("control did not answer", 500);
             refusal.verdict = Verdict::MayHaveRun;
             Err(refusal)
         }
--- a/src/entry/endpoints.rs
+++ b/src/entry/endpoints.rs
@@ -122,7 +122,7 @@
         "heartbeat" => heartbeat(state, parse_body(&request.body)?),
         "leave" => leave(state, parse_body(&request.body)?).await,
         "cache" => cache(state, parse_body(&request.body)?),
-        _ => Err(Refusal::bad(
+        _ => Err(Refusal::invalid(
             StatusCode::NOT_FOUND,
             "endpoints have announce, heartbeat, leave and cache",
         )),
@@ -181,9 +181,10 @@
     let config = state.board.config.read();
     let Some(in_force) = config.as_ref() else {
         let text = "there is no configuration yet";
-        return Err(Refusal::later(text, 1000));
+        return Err(Refusal::retryable(text, 1000));
     };
-    let invalid = |text: String| Refusal::bad(StatusCode::BAD_REQUEST, text);
+    let invalid =
+        |text: String| Refusal::invalid(StatusCode::BAD_REQUEST, text);
     if endpoint.id.is_empty() || endpoint.id.len() > 128 {
         return Err(invalid("id must have 1 to 128 bytes".to_owned()));
     }
@@ -214,7 +215,7 @@
         .filter(|endpoint| endpoint.incarnation == body.incarnation)
         .map(|endpoint| endpoint.service.clone());
     let Some(service) = service else {
-        return Err(Refusal::bad(
+        return Err(Refusal::invalid(
             StatusCode::NOT_FOUND,
             "not announced, or silent for too long; announce again",
         ));
@@ -276,7 +277,7 @@
     let result = commit_change(state, change::Kind::Depart(depart)).await?;
     if result == endpoint_outcome::Result::Unknown as i32 {
         let text = "no such endpoint and incarnation";
-        return Err(Refusal::bad(StatusCode::NOT_FOUND, text));
+        return Err(Refusal::invalid(StatusCode::NOT_FOUND, text));
     }
     Ok(Response::json(StatusCode::OK, &json!({ "left": true })))
 }
@@ -339,7 +340,7 @@
     if state.holds_lease() {
         return Ok(());
     }
-    Err(Refusal::later("this entry is cut off from control", 200))
+    Err(Refusal::retryable("this entry is cut off from control", 200))
 }
 
 fn record_heartbeat(state: &Shared, load: Load) {
@@ -361,10 +362,10 @@
     match state.control.propose(change, COMMIT_TIMEOUT, true).await {
         Ok(outcome) => match outcome.kind {
             Some(outcome::Kind::Endpoint(endpoint)) => Ok(endpoint.result),
-            _ => Err(Refusal::later("control gave no answer", 200)),
+            _ => Err(Refusal::retryable("control gave no answer", 200)),
         },
         Err(failure) => {
-            let mut refusal = Refusal::later(failure.to_string(), 200);
+            let mut refusal = Refusal::retryable(failure.to_string(), 200);
             refusal.verdict = failure.verdict();
             Err(refusal)
         }
@@ -392,6 +393,6 @@
 fn parse_body<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, Refusal> {
     serde_json::from_slice(body).map_err(|error| {
         let text = format!("the body is not as it should be: {error}");
-        Refusal::bad(StatusCode::BAD_REQUEST, text)
+        Refusal::invalid(StatusCode::BAD_REQUEST, text)
     })
 }
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -113,7 +113,7 @@
         Err(peers::Unavailable) => {
             state.requests.remove(&id);
             let text = "no other entry could take a copy";
-            return Err(Refusal::later(text, 500));
+            return Err(Refusal::retryable(text, 500));
         }
     };
     // The request runs from here on. The response head is sent once the
@@ -146,7 +146,7 @@
     if known.body == body {
         return Ok(known);
     }
-    Err(Refusal::bad(
+    Err(Refusal::invalid(
         StatusCode::UNPROCESSABLE_ENTITY,
         "the key was used for another request",
     ))
--- a/src/entry/plain.rs
+++ b/src/entry/plain.rs
@@ -102,7 +102,7 @@
         call_repeatable(state, service_call).await.map(build_response)
     } else {
         if service_call.caller.key.is_none() {
-            return Err(Refusal::bad(
+            return Err(Refusal::invalid(
                 StatusCode::BAD_REQUEST,
                 "this call may not be repeated; it needs an Idempotency-Key",
             ));
@@ -112,7 +112,7 @@
         let run = state.runtime.spawn(call_once(state.clone(), service_call));
         match run.await {
             Ok(result) => result,
-            Err(_) => Err(Refusal::doubtful("the entry failed")),
+            Err(_) => Err(Refusal::may_have_run("the entry failed")),
         }
     };
     let seconds = state.now().saturating_sub(started_at) as f64 / 1000.0;
@@ -221,7 +221,7 @@
 }
 
 fn no_endpoint(verdict: Verdict) -> Refusal {
-    let mut refusal = Refusal::later("no endpoint could take it", 500);
+    let mut refusal = Refusal::retryable("no endpoint could take it", 500);
     refusal.verdict = verdict;
     refusal
 }
@@ -389,7 +389,7 @@
     state.runtime.spawn(async move {
         settle(&background, settlement).await;
     });
-    Refusal::doubtful(failed.text)
+    Refusal::may_have_run(failed.text)
 }
 
 /// Waits for the answer of the call that holds the claim on the same key.
@@ -403,7 +403,7 @@
         match claim_state(&outcome) {
             claim_outcome::State::Settled => return read_answer(&outcome),
             claim_outcome::State::Mismatch => {
-                return Err(Refusal::bad(
+                return Err(Refusal::invalid(
                     StatusCode::UNPROCESSABLE_ENTITY,
                     "the key was used for another request",
                 ));
@@ -416,7 +416,10 @@
             // The claim was released: the request was not run, so the caller
             // may retry.
             claim_outcome::State::Unknown | claim_outcome::State::Granted => {
-                return Err(Refusal::later("it was not sent; repeat it", 1));
+                return Err(Refusal::retryable(
+                    "it was not sent; repeat it",
+                    1,
+                ));
             }
         }
         if state.now() + CLAIM_POLL_INTERVAL.as_millis() as u64 >= deadline {
@@ -434,13 +437,13 @@
 
 fn owner_lost() -> Refusal {
     let text = "the entry that ran it is gone; it will not be sent again";
-    Refusal::doubtful(text)
+    Refusal::may_have_run(text)
 }
 
 fn read_answer(outcome: &ClaimOutcome) -> Result<Response, Refusal> {
     let answer = outcome.answer.clone().unwrap_or_default();
     if Verdict::from_u32(answer.verdict) != Verdict::Ran {
-        return Err(Refusal::doubtful("its endpoint did not answer"));
+        return Err(Refusal::may_have_run("its endpoint did not answer"));
     }
     let status = u16::try_from(answer.status)
         .ok()
@@ -494,7 +497,7 @@
     endpoint: &Endpoint,
 ) -> Result<Call, Refusal> {
     let address = endpoint.address.parse().map_err(|_| {
-        Refusal::later("an endpoint has no usable address", 500)
+        Refusal::retryable("an endpoint has no usable address", 500)
     })?;
     Ok(Call {
         address,
--- a/src/entry/refusal.rs
+++ b/src/entry/refusal.rs
@@ -22,7 +22,7 @@
 
 impl Refusal {
     /// Refuses a request that is invalid in itself and was not run.
-    pub fn bad(status: StatusCode, text: impl Into<String>) -> Refusal {
+    pub fn invalid(status: StatusCode, text: impl Into<String>) -> Refusal {
         Refusal {
             status,
             verdict: Verdict::NotRun,
@@ -32,7 +32,7 @@
     }
 
     /// Refuses a request that was not run and may be retried after `after_ms`.
-    pub fn later(text: impl Into<String>, after_ms: u64) -> Refusal {
+    pub fn retryable(text: impl Into<String>, after_ms: u64) -> Refusal {
         Refusal {
             status: StatusCode::SERVICE_UNAVAILABLE,
             verdict: Verdict::NotRun,
@@ -42,7 +42,7 @@
     }
 
     /// Refuses a request that was sent and whose result is unknown.
-    pub fn doubtful(text: impl Into<String>) -> Refusal {
+    pub fn may_have_run(text: impl Into<String>) -> Refusal {
         Refusal {
             status: StatusCode::BAD_GATEWAY,
             verdict: Verdict::MayHaveRun,
--- a/src/entry/suspects.rs
+++ b/src/entry/suspects.rs
@@ -85,7 +85,10 @@
         if quarantine.grant_trial(now, fingerprint, reason, 0) {
             return Ok(());
         }
-        Err(Refusal::later(quarantine_text(reason), reason.retry_after_ms()))
+        Err(Refusal::retryable(
+            quarantine_text(reason),
+            reason.retry_after_ms(),
+        ))
     }
 
     /// Returns why a request may not be sent to endpoints now.
