--- a/examples/standin/announce.rs
+++ b/examples/standin/announce.rs
@@ -204,6 +204,6 @@
             headers: HeaderMap::new(),
             body: Bytes::from(body.to_string()),
         };
-        self.dispatcher.repeatable(call, LIMIT, true).await.ok()
+        self.dispatcher.send_repeatable(call, LIMIT, true).await.ok()
     }
 }
--- a/examples/standin/engine.rs
+++ b/examples/standin/engine.rs
@@ -199,7 +199,7 @@
             body: Bytes::new(),
         };
         let limit = Duration::from_millis(500);
-        let answer = self.dispatcher.repeatable(call, limit, true).await;
+        let answer = self.dispatcher.send_repeatable(call, limit, true).await;
         answer.is_ok_and(|answer| answer.status == StatusCode::OK)
     }
 
--- a/src/caller.rs
+++ b/src/caller.rs
@@ -22,7 +22,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::{
-    entry::dispatch::{Answer, Call, Dispatcher, Failed},
+    entry::dispatch::{Answer, Call, CallError, Dispatcher},
     verdict::Verdict,
 };
 
@@ -58,7 +58,7 @@
 enum Read {
     Whole,
     Broken,
-    Refused(Failed, Duration),
+    Refused(CallError, Duration),
 }
 
 impl Caller {
@@ -109,7 +109,7 @@
         &self,
         address: SocketAddr,
         path: &str,
-    ) -> Result<Answer, Failed> {
+    ) -> Result<Answer, CallError> {
         let call = Call {
             address,
             method: Method::GET,
@@ -118,7 +118,7 @@
             body: Bytes::new(),
         };
         let limit = Duration::from_secs(2);
-        self.dispatcher.repeatable(call, limit, true).await
+        self.dispatcher.send_repeatable(call, limit, true).await
     }
 
     /// Goes on to another entry, and asks for a new list.
@@ -158,7 +158,7 @@
         &mut self,
         call: PlainCall<'_>,
         limit: Duration,
-    ) -> Result<Answer, Failed> {
+    ) -> Result<Answer, CallError> {
         let give_up = Instant::now() + limit;
         let mut sent = Verdict::NotRun;
         loop {
@@ -183,7 +183,7 @@
             let wait = wait.unwrap_or(give_up - Instant::now() + PAUSE);
             if !again || Instant::now() + wait >= give_up {
                 let text = failed.text;
-                return Err(Failed { verdict: sent, text });
+                return Err(CallError { verdict: sent, text });
             }
             self.leave();
             sleep(wait).await;
@@ -203,7 +203,7 @@
         key: &str,
         limit: Duration,
         mut on_piece: impl FnMut(&str),
-    ) -> Result<String, Failed> {
+    ) -> Result<String, CallError> {
         let give_up = Instant::now() + limit;
         let mut body = body.clone();
         body["stream"] = json!(true);
@@ -262,7 +262,7 @@
                 }
             };
             if Instant::now() + wait >= give_up {
-                return Err(Failed {
+                return Err(CallError {
                     verdict: Verdict::MayHaveRun,
                     text: "its time is over".to_owned(),
                 });
@@ -334,7 +334,7 @@
         .is_some_and(|value| value != Verdict::Ran.as_str())
 }
 
-fn refusal_of(answer: &Answer) -> (Failed, Option<Duration>) {
+fn refusal_of(answer: &Answer) -> (CallError, Option<Duration>) {
     let failed = failed_of(&answer.body);
     let value: Value =
         serde_json::from_slice(&answer.body).unwrap_or_default();
@@ -342,10 +342,10 @@
     (failed, wait)
 }
 
-fn failed_of(body: &[u8]) -> Failed {
+fn failed_of(body: &[u8]) -> CallError {
     let value: Value = serde_json::from_slice(body).unwrap_or_default();
     let verdict = value["verdict"].as_str().and_then(Verdict::parse);
-    Failed {
+    CallError {
         verdict: verdict.unwrap_or(Verdict::MayHaveRun),
         text: value["error"].as_str().unwrap_or("no reason given").to_owned(),
     }
--- a/src/cli/operate.rs
+++ b/src/cli/operate.rs
@@ -20,7 +20,7 @@
     caller::{Caller, PlainCall},
     config,
     control::client::Client,
-    entry::dispatch::{self, Dispatcher, Failed},
+    entry::dispatch::{self, CallError, Dispatcher},
     util::random_id,
     wire::{
         ApplyConfig, Change, ConfigReply, Depart, Empty, IssueOrder, Query,
@@ -238,8 +238,9 @@
             headers: HeaderMap::new(),
             body: Bytes::new(),
         };
-        let answer =
-            dispatcher.repeatable(call, Duration::from_secs(2), true).await;
+        let answer = dispatcher
+            .send_repeatable(call, Duration::from_secs(2), true)
+            .await;
         let Ok(answer) = answer else { continue };
         if !answer.status.is_success() {
             continue;
@@ -306,7 +307,7 @@
     let made_up = format!("call-{:016x}", random_id());
     let key = arguments.key.as_deref().unwrap_or(&made_up);
     let limit = Duration::from_secs(arguments.seconds);
-    let say = |failed: Failed| {
+    let say = |failed: CallError| {
         let verdict = failed.verdict.as_str();
         Failure::Failed(format!("{verdict}: {} (key {key})", failed.text))
     };
--- a/src/entry/dispatch.rs
+++ b/src/entry/dispatch.rs
@@ -4,16 +4,16 @@
 //! as it is. The other methods that send a call return an error if the verdict
 //! header of the response says that the endpoint did not run the request.
 //!
-//! [`Dispatcher::once`] is for calls that must not run twice. It opens a new
-//! connection for each call and distinguishes two phases. Until the connection
-//! is established nothing has been sent, so a failure is "not run". From the
-//! first byte on, everything except an answer is "may have run". A pooled
-//! connection can't separate the two phases, because the client library may
-//! resend a request by itself.
+//! [`Dispatcher::send_once`] is for calls that must not run twice. It opens a
+//! new connection for each call and distinguishes two phases. Until the
+//! connection is established nothing has been sent, so a failure is "not run".
+//! From the first byte on, everything except an answer is "may have run". A
+//! pooled connection can't separate the two phases, because the client library
+//! may resend a request by itself.
 //!
-//! [`Dispatcher::open_answer`] and [`Dispatcher::repeatable`] are for calls
-//! that may be repeated, and use pooled connections. A pooled connection can
-//! have been silently dead for some time. An attempt after a failed one
+//! [`Dispatcher::open_repeatable`] and [`Dispatcher::send_repeatable`] are for
+//! calls that may be repeated, and use pooled connections. A pooled connection
+//! can have been silently dead for some time. An attempt after a failed one
 //! therefore asks for a new connection.
 
 use std::{io::ErrorKind, net::SocketAddr, time::Duration};
@@ -42,20 +42,20 @@
 
 /// A call that an endpoint did not answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Failed {
+pub struct CallError {
     /// Whether the endpoint may have run the request.
     pub verdict: Verdict,
     /// Description of the failure.
     pub text: String,
 }
 
-impl Failed {
-    fn not_run(text: impl ToString) -> Failed {
-        Failed { verdict: Verdict::NotRun, text: text.to_string() }
+impl CallError {
+    fn not_run(text: impl ToString) -> CallError {
+        CallError { verdict: Verdict::NotRun, text: text.to_string() }
     }
 
-    fn may_have_run(text: impl ToString) -> Failed {
-        Failed { verdict: Verdict::MayHaveRun, text: text.to_string() }
+    fn may_have_run(text: impl ToString) -> CallError {
+        CallError { verdict: Verdict::MayHaveRun, text: text.to_string() }
     }
 }
 
@@ -118,7 +118,7 @@
         &self,
         call: Call,
         silence_timeout: Duration,
-    ) -> Result<Answer, Failed> {
+    ) -> Result<Answer, CallError> {
         let response = send_on_new_connection(&call, silence_timeout).await?;
         read_answer(response, silence_timeout).await
     }
@@ -130,11 +130,11 @@
     ///
     /// As [`Dispatcher::exchange`]. The verdict is also "not run" if the
     /// endpoint's response says so.
-    pub async fn once(
+    pub async fn send_once(
         &self,
         call: Call,
         silence_timeout: Duration,
-    ) -> Result<Answer, Failed> {
+    ) -> Result<Answer, CallError> {
         let response = check_verdict(
             send_on_new_connection(&call, silence_timeout).await?,
         )?;
@@ -145,15 +145,16 @@
     ///
     /// # Errors
     ///
-    /// As [`Dispatcher::once`].
-    pub async fn repeatable(
+    /// As [`Dispatcher::send_once`].
+    pub async fn send_repeatable(
         &self,
         call: Call,
         silence_timeout: Duration,
         new_connection: bool,
-    ) -> Result<Answer, Failed> {
-        let response =
-            self.open_answer(call, silence_timeout, new_connection).await?;
+    ) -> Result<Answer, CallError> {
+        let response = self
+            .open_repeatable(call, silence_timeout, new_connection)
+            .await?;
         read_answer(response, silence_timeout).await
     }
 
@@ -161,26 +162,26 @@
     ///
     /// # Errors
     ///
-    /// As [`Dispatcher::once`].
-    pub async fn open_answer(
+    /// As [`Dispatcher::send_once`].
+    pub async fn open_repeatable(
         &self,
         call: Call,
         silence_timeout: Duration,
         new_connection: bool,
-    ) -> Result<Response<Incoming>, Failed> {
+    ) -> Result<Response<Incoming>, CallError> {
         if new_connection {
             return check_verdict(
                 send_on_new_connection(&call, silence_timeout).await?,
             );
         }
-        let request = encode(&call, true).map_err(Failed::not_run)?;
+        let request = encode(&call, true).map_err(CallError::not_run)?;
         match timeout(silence_timeout, self.pool.request(request)).await {
             Ok(Ok(response)) => check_verdict(response),
             Ok(Err(error)) if error.is_connect() => {
-                Err(Failed::not_run(error))
+                Err(CallError::not_run(error))
             }
-            Ok(Err(error)) => Err(Failed::may_have_run(error)),
-            Err(_) => Err(Failed::may_have_run("no answer in time")),
+            Ok(Err(error)) => Err(CallError::may_have_run(error)),
+            Err(_) => Err(CallError::may_have_run("no answer in time")),
         }
     }
 
@@ -189,7 +190,7 @@
     ///
     /// Returns false if that can't be determined, for instance during a
     /// network partition.
-    pub async fn has_ended(&self, address: SocketAddr) -> bool {
+    pub async fn refuses_connections(&self, address: SocketAddr) -> bool {
         let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
         match connected.await {
             Ok(Err(error)) => error.kind() == ErrorKind::ConnectionRefused,
@@ -206,7 +207,7 @@
         &self,
         call: Call,
         silence_timeout: Duration,
-    ) -> Result<Response<Incoming>, Failed> {
+    ) -> Result<Response<Incoming>, CallError> {
         send_on_new_connection(&call, silence_timeout).await
     }
 }
@@ -217,19 +218,19 @@
 async fn send_on_new_connection(
     call: &Call,
     silence_timeout: Duration,
-) -> Result<Response<Incoming>, Failed> {
+) -> Result<Response<Incoming>, CallError> {
     let connected = timeout(CONNECT_TIMEOUT, connect(call.address)).await;
     let mut sender = match connected {
         Ok(Ok(sender)) => sender,
-        Ok(Err(text)) => return Err(Failed::not_run(text)),
-        Err(_) => return Err(Failed::not_run("connecting timed out")),
+        Ok(Err(text)) => return Err(CallError::not_run(text)),
+        Err(_) => return Err(CallError::not_run("connecting timed out")),
     };
-    let request = encode(call, false).map_err(Failed::not_run)?;
+    let request = encode(call, false).map_err(CallError::not_run)?;
     // From here on the endpoint may have received the request.
     match timeout(silence_timeout, sender.send_request(request)).await {
         Ok(Ok(response)) => Ok(response),
-        Ok(Err(error)) => Err(Failed::may_have_run(error)),
-        Err(_) => Err(Failed::may_have_run("no answer in time")),
+        Ok(Err(error)) => Err(CallError::may_have_run(error)),
+        Err(_) => Err(CallError::may_have_run("no answer in time")),
     }
 }
 
@@ -270,14 +271,14 @@
 /// Returns an error if the endpoint says that it did not run the request.
 fn check_verdict(
     response: Response<Incoming>,
-) -> Result<Response<Incoming>, Failed> {
+) -> Result<Response<Incoming>, CallError> {
     let refused = response
         .headers()
         .get(VERDICT_HEADER)
         .is_some_and(|value| value == Verdict::NotRun.as_str());
     if refused {
         let status = response.status();
-        return Err(Failed::not_run(format!("refused with {status}")));
+        return Err(CallError::not_run(format!("refused with {status}")));
     }
     Ok(response)
 }
@@ -285,7 +286,7 @@
 async fn read_answer(
     response: Response<Incoming>,
     silence_timeout: Duration,
-) -> Result<Answer, Failed> {
+) -> Result<Answer, CallError> {
     let (head, body) = response.into_parts();
     let body = Limited::new(body, MAX_ANSWER_BYTES).collect();
     match timeout(silence_timeout, body).await {
@@ -295,7 +296,7 @@
             body: body.to_bytes(),
         }),
         // A partial answer is an error. The caller would take it for complete.
-        Ok(Err(error)) => Err(Failed::may_have_run(error)),
-        Err(_) => Err(Failed::may_have_run("the answer stalled")),
+        Ok(Err(error)) => Err(CallError::may_have_run(error)),
+        Err(_) => Err(CallError::may_have_run("the answer stalled")),
     }
 }
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -21,7 +21,7 @@
     admission::{self, Permit},
     callers::Caller,
     chat::Chat,
-    dispatch::{Call, Failed},
+    dispatch::{Call, CallError},
     peers, plain,
     refusal::Refusal,
     requests::{NewRecord, Outcome, Owner, Record},
@@ -191,7 +191,7 @@
     /// The endpoint answered that the request itself is invalid.
     InvalidRequest(String),
     /// The attempt failed or timed out.
-    Failed(Failed),
+    Failed(CallError),
 }
 
 struct Run<'a> {
@@ -363,11 +363,11 @@
         let Ok(address) = endpoint.address.parse() else {
             let text = "it has no usable address".to_owned();
             let verdict = Verdict::NotRun;
-            return Attempt::Failed(Failed { verdict, text });
+            return Attempt::Failed(CallError { verdict, text });
         };
         let call = self.call(address);
         let silence = self.silence_timeout();
-        let opened = self.state.dispatcher.open_answer(
+        let opened = self.state.dispatcher.open_repeatable(
             call,
             silence,
             self.new_connection,
@@ -389,7 +389,7 @@
         if !status.is_success() {
             let text = format!("the engine said {status}");
             let verdict = Verdict::MayHaveRun;
-            return Attempt::Failed(Failed { verdict, text });
+            return Attempt::Failed(CallError { verdict, text });
         }
         if let Some(load) = plain::parse_load(response.headers()) {
             self.record_load(choice, load);
@@ -590,5 +590,5 @@
 
 fn interrupted(text: impl ToString) -> Attempt {
     let verdict = Verdict::MayHaveRun;
-    Attempt::Failed(Failed { verdict, text: text.to_string() })
+    Attempt::Failed(CallError { verdict, text: text.to_string() })
 }
--- a/src/entry/plain.rs
+++ b/src/entry/plain.rs
@@ -31,7 +31,7 @@
         claim_state, look_up, owner_lives, propose_claim, release, settle,
         settle_within, settlement,
     },
-    dispatch::{Answer, Call, Failed, LOAD_HEADER},
+    dispatch::{Answer, Call, CallError, LOAD_HEADER},
     refusal::Refusal,
     state::Shared,
 };
@@ -179,7 +179,8 @@
         let silence = Duration::from_millis(service_call.service.silence_ms);
         let sent_at = state.now();
         let fresh = attempt > 0;
-        let result = state.dispatcher.repeatable(call, silence, fresh).await;
+        let result =
+            state.dispatcher.send_repeatable(call, silence, fresh).await;
         record_end(
             state,
             &service_call.service.name,
@@ -300,7 +301,7 @@
         let Ok(call) = call(service_call, &endpoint) else { break };
         let silence = Duration::from_millis(service_call.service.silence_ms);
         let sent_at = state.now();
-        let result = state.dispatcher.once(call, silence).await;
+        let result = state.dispatcher.send_once(call, silence).await;
         record_end(
             state,
             &service_call.service.name,
@@ -377,7 +378,7 @@
     state: &Shared,
     key: &str,
     owner: &str,
-    failed: Failed,
+    failed: CallError,
 ) -> Refusal {
     let record = wire::Answer {
         verdict: Verdict::MayHaveRun.as_u32(),
@@ -513,7 +514,7 @@
     service: &str,
     choice: &Choice,
     sent_at: u64,
-    result: &Result<Answer, Failed>,
+    result: &Result<Answer, CallError>,
 ) {
     let now = state.now();
     let mut fleet = state.fleet();
--- a/src/entry/suspects.rs
+++ b/src/entry/suspects.rs
@@ -10,7 +10,7 @@
 use tracing::warn;
 
 use super::{
-    dispatch::Failed, endpoints::has_left, refusal::Refusal, state::State,
+    dispatch::CallError, endpoints::has_left, refusal::Refusal, state::State,
 };
 use crate::{
     decide::quarantine::{Crash, Reason, Source, Success},
@@ -32,7 +32,7 @@
         &self,
         fingerprint: u64,
         endpoint: &Endpoint,
-        failed: &Failed,
+        failed: &CallError,
     ) {
         // An endpoint that was not reached did not run the request.
         if failed.verdict == Verdict::NotRun {
@@ -40,7 +40,7 @@
         }
         sleep(CRASH_CHECK_DELAY).await;
         let Ok(address) = endpoint.address.parse() else { return };
-        if !self.dispatcher.has_ended(address).await {
+        if !self.dispatcher.refuses_connections(address).await {
             return;
         }
         // An endpoint that announced its departure exits with requests in
--- a/tests/all/cluster.rs
+++ b/tests/all/cluster.rs
@@ -19,7 +19,7 @@
 
 use azuremount::{
     control::client::{Client, Error},
-    entry::dispatch::{Answer, Call, Dispatcher, Failed},
+    entry::dispatch::{Answer, Call, CallError, Dispatcher},
     wire::{
         ApplyConfig, Change, Empty, Outcome, Query, QueryReply, SourceFile,
         StatusReply, change, query, query_reply,
@@ -565,7 +565,7 @@
         path: &str,
         headers: &[(&'static str, &str)],
         body: &str,
-    ) -> Result<Answer, Failed> {
+    ) -> Result<Answer, CallError> {
         let mut map = HeaderMap::new();
         for (name, value) in headers {
             let value = HeaderValue::from_str(value).expect("a value");
--- a/tests/all/scenario.rs
+++ b/tests/all/scenario.rs
@@ -608,7 +608,7 @@
 fn format_answer(
     answer: Result<
         azuremount::entry::dispatch::Answer,
-        azuremount::entry::dispatch::Failed,
+        azuremount::entry::dispatch::CallError,
     >,
 ) -> String {
     let answer = match answer {
