--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -45,7 +45,7 @@
 /// # Errors
 ///
 /// Returns a refusal if control does not answer.
-pub async fn look_up(
+pub async fn read_claim(
     state: &Shared,
     key: &str,
 ) -> Result<ClaimOutcome, Refusal> {
@@ -114,7 +114,7 @@
 }
 
 /// Whether control still lists the incarnation of the entry that owns a claim.
-pub fn owner_lives(state: &Shared, owner: &str) -> bool {
+pub fn is_owner_live(state: &Shared, owner: &str) -> bool {
     let mut parts = owner.split('/');
     let (id, incarnation) = (parts.next(), parts.next());
     if id == Some(state.info.id.as_str()) {
--- a/src/entry/endpoints.rs
+++ b/src/entry/endpoints.rs
@@ -107,7 +107,7 @@
 
 /// Returns the id of a record's endpoint, the key of the list of departed
 /// endpoints.
-pub fn record_id(record: &EndpointRecord) -> &str {
+pub fn endpoint_id(record: &EndpointRecord) -> &str {
     record.endpoint.as_ref().map_or("", |endpoint| &endpoint.id)
 }
 
@@ -131,7 +131,7 @@
 
 /// Takes the heartbeats that renew leases with the next sync, and adds the
 /// time since their arrival to their age.
-pub fn renewed(state: &Shared) -> Vec<Load> {
+pub fn take_heartbeats(state: &Shared) -> Vec<Load> {
     let now = state.now();
     let mut renewals =
         state.renewals.0.lock().unwrap_or_else(|held| held.into_inner());
@@ -206,7 +206,7 @@
     // Without a lease this entry can't know whether the endpoint has left and
     // can't forward the heartbeat. The endpoint has to use another entry.
     require_lease(state)?;
-    if has_left(state, &body.id, body.incarnation) {
+    if has_announced_departure(state, &body.id, body.incarnation) {
         return Err(departed_refusal());
     }
     let service = state
@@ -302,7 +302,7 @@
         within_ms: depart.within_ms,
     };
     state.board.departed.update(|departed| {
-        upsert(departed, record, record_id);
+        upsert(departed, record, endpoint_id);
     });
 }
 
@@ -327,7 +327,11 @@
 }
 
 /// Whether an incarnation of an endpoint has announced that it leaves.
-pub(super) fn has_left(state: &State, id: &str, incarnation: u64) -> bool {
+pub(super) fn has_announced_departure(
+    state: &State,
+    id: &str,
+    incarnation: u64,
+) -> bool {
     state.board.departed.read().iter().any(|record| {
         record.leaving
             && record.endpoint.as_ref().is_some_and(|endpoint| {
--- a/src/entry/plain.rs
+++ b/src/entry/plain.rs
@@ -28,8 +28,8 @@
     admission,
     callers::Caller,
     claims::{
-        claim_state, look_up, owner_lives, propose_claim, release, settle,
-        settle_within, settlement,
+        claim_state, is_owner_live, propose_claim, read_claim, release,
+        settle, settle_within, settlement,
     },
     dispatch::{Answer, Call, CallError, LOAD_HEADER},
     refusal::Refusal,
@@ -131,10 +131,10 @@
     state: &Shared,
     key: &str,
 ) -> Result<Response, Refusal> {
-    let outcome = look_up(state, key).await?;
+    let outcome = read_claim(state, key).await?;
     match claim_state(&outcome) {
         claim_outcome::State::Settled => read_answer(&outcome),
-        claim_outcome::State::Held if owner_lives(state, &outcome.owner) => {
+        claim_outcome::State::Held if is_owner_live(state, &outcome.owner) => {
             Err(Refusal {
                 status: StatusCode::ACCEPTED,
                 verdict: Verdict::MayHaveRun,
@@ -410,7 +410,7 @@
                 ));
             }
             claim_outcome::State::Held => {
-                if !owner_lives(state, &outcome.owner) {
+                if !is_owner_live(state, &outcome.owner) {
                     return Err(owner_lost());
                 }
             }
@@ -432,7 +432,7 @@
             });
         }
         sleep(CLAIM_POLL_INTERVAL).await;
-        outcome = look_up(state, key).await?;
+        outcome = read_claim(state, key).await?;
     }
 }
 
--- a/src/entry/suspects.rs
+++ b/src/entry/suspects.rs
@@ -10,7 +10,8 @@
 use tracing::warn;
 
 use super::{
-    dispatch::CallError, endpoints::has_left, refusal::Refusal, state::State,
+    dispatch::CallError, endpoints::has_announced_departure, refusal::Refusal,
+    state::State,
 };
 use crate::{
     decide::quarantine::{Crash, Reason, Source, Success},
@@ -45,7 +46,7 @@
         }
         // An endpoint that announced its departure exits with requests in
         // flight; its exit is not a crash.
-        if has_left(self, &endpoint.id, endpoint.incarnation) {
+        if has_announced_departure(self, &endpoint.id, endpoint.incarnation) {
             return;
         }
         let now = self.now() as i64;
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -72,7 +72,7 @@
         .as_ref()
         .as_ref()
         .map_or(0, |known| known.revision);
-    let renewed: Vec<Load> = super::endpoints::renewed(state);
+    let renewed: Vec<Load> = super::endpoints::take_heartbeats(state);
     SyncRequest {
         entry: Some(EntryInfo {
             serving: state.is_serving(),
@@ -173,7 +173,11 @@
             // Departures that this entry received first stay in the list;
             // their content is the same.
             for record in &reply.departed {
-                upsert(departed, record.clone(), super::endpoints::record_id);
+                upsert(
+                    departed,
+                    record.clone(),
+                    super::endpoints::endpoint_id,
+                );
             }
         });
     }
