--- a/examples/standin/engine.rs
+++ b/examples/standin/engine.rs
@@ -224,7 +224,7 @@
         let mut usage = Some(json!({
             "prompt_tokens": prompt, "cached_tokens": cached,
         }));
-        let mut order: Vec<u64> = (job.resume..job.chat.most).collect();
+        let mut order: Vec<u64> = (job.resume..job.chat.max_pieces).collect();
         if self.faults.get() == Fault::Shuffle {
             for pair in order.chunks_exact_mut(3) {
                 pair.swap(0, 2);
@@ -257,7 +257,7 @@
             send.send(Piece::Data(Bytes::from(event))).await?;
             self.counts.lock().expect("counts").pieces += 1;
         }
-        let last = format!("id: {}\ndata: [DONE]\n\n", job.chat.most);
+        let last = format!("id: {}\ndata: [DONE]\n\n", job.chat.max_pieces);
         send.send(Piece::Data(Bytes::from(last))).await?;
         send.send(Piece::End).await
     }
--- a/src/entry/chat.rs
+++ b/src/entry/chat.rs
@@ -13,7 +13,7 @@
     /// Whether the caller wants the answer streamed in pieces.
     pub stream: bool,
     /// Maximum number of pieces in the answer.
-    pub most: u64,
+    pub max_pieces: u64,
     /// Prompt, made of the roles and contents of all messages.
     pub prompt: String,
     /// Body as the caller sent it.
@@ -53,15 +53,15 @@
             Value::Bool(stream) => *stream,
             _ => return Err("stream must be true or false".to_owned()),
         };
-        let most = match &value["max_tokens"] {
+        let max_pieces = match &value["max_tokens"] {
             Value::Null => DEFAULT_MAX_TOKENS,
             Value::Number(number) => number
                 .as_u64()
-                .filter(|most| (1..=1_000_000).contains(most))
+                .filter(|max_pieces| (1..=1_000_000).contains(max_pieces))
                 .ok_or("max_tokens must be from 1 to 1000000")?,
             _ => return Err("max_tokens must be a number".to_owned()),
         };
-        Ok(Chat { model, stream, most, prompt, body: value })
+        Ok(Chat { model, stream, max_pieces, prompt, body: value })
     }
 
     /// Estimates the number of tokens in the prompt, at four bytes per token.
--- a/src/entry/endpoints.rs
+++ b/src/entry/endpoints.rs
@@ -292,7 +292,7 @@
         .filter(|endpoint| endpoint.incarnation == depart.incarnation)
         .cloned();
     let Some(endpoint) = endpoint else { return };
-    fleet.leave(&depart.id, depart.incarnation, config);
+    fleet.remove_departing(&depart.id, depart.incarnation, config);
     drop(fleet);
     let record = EndpointRecord {
         endpoint: Some(endpoint),
@@ -355,7 +355,7 @@
         load.endpoint.as_str()
     });
     drop(renewals);
-    state.fleet().report(state.now(), &[load]);
+    state.fleet().record_loads(state.now(), &[load]);
 }
 
 async fn commit_change(
--- a/src/entry/fleet.rs
+++ b/src/entry/fleet.rs
@@ -96,7 +96,7 @@
 
     /// Removes an endpoint that announced its departure to this entry, before
     /// control's list reflects it.
-    pub fn leave(
+    pub fn remove_departing(
         &mut self,
         id: &str,
         incarnation: u64,
@@ -171,7 +171,7 @@
 
     /// Records loads that endpoints reported in heartbeats, here or through
     /// control.
-    pub fn report(&mut self, now: u64, loads: &[Load]) {
+    pub fn record_loads(&mut self, now: u64, loads: &[Load]) {
         for load in loads {
             let Some(endpoint) = self.endpoint(&load.endpoint) else {
                 continue;
--- a/src/entry/model.rs
+++ b/src/entry/model.rs
@@ -82,7 +82,7 @@
         &service.name,
     )?;
     let arrived = state.now();
-    let cost = f64::from(chat.prompt_tokens()) + chat.most as f64;
+    let cost = f64::from(chat.prompt_tokens()) + chat.max_pieces as f64;
     let permit = admission::admit(
         state,
         service,
@@ -408,7 +408,7 @@
                     pieces: (self.record.len() - resumed_at) as u64,
                     max_pieces: self
                         .chat
-                        .most
+                        .max_pieces
                         .saturating_sub(resumed_at as u64),
                     streaming_ms: first_at
                         .map_or(0, |at| last_at.saturating_sub(at)),
--- a/src/entry/sync.rs
+++ b/src/entry/sync.rs
@@ -181,7 +181,7 @@
             }
         });
     }
-    fleet.report(state.now(), &reply.loads);
+    fleet.record_loads(state.now(), &reply.loads);
 }
 
 fn apply_entries(state: &Shared, versions: &mut Versions, reply: &SyncReply) {
