--- a/src/entry/endpoints.rs
+++ b/src/entry/endpoints.rs
@@ -107,7 +107,7 @@
 
 /// Returns the id of a record's endpoint, the key of the list of departed
 /// endpoints.
-pub fn record_id(record: &EndpointRecord) -> &str {
+pub fn endpoint_id(record: &EndpointRecord) -> &str {
     record.endpoint.as_ref().map_or("", |endpoint| &endpoint.id)
 }
 
@@ -122,7 +122,7 @@
         "heartbeat" => heartbeat(state, parse_body(&request.body)?),
         "leave" => leave(state, parse_body(&request.body)?).await,
         "cache" => cache(state, parse_body(&request.body)?),
-        _ => Err(Refusal::bad(
+        _ => Err(Refusal::invalid(
             StatusCode::NOT_FOUND,
             "endpoints have announce, heartbeat, leave and cache",
         )),
@@ -131,7 +131,7 @@
 
 /// Takes the heartbeats that renew leases with the next sync, and adds the
 /// time since their arrival to their age.
-pub fn renewed(state: &Shared) -> Vec<Load> {
+pub fn take_heartbeats(state: &Shared) -> Vec<Load> {
     let now = state.now();
     let mut renewals =
         state.renewals.0.lock().unwrap_or_else(|held| held.into_inner());
@@ -181,9 +181,10 @@
     let config = state.board.config.read();
     let Some(in_force) = config.as_ref() else {
         let text = "there is no configuration yet";
-        return Err(Refusal::later(text, 1000));
+        return Err(Refusal::retryable(text, 1000));
     };
-    let invalid = |text: String| Refusal::bad(StatusCode::BAD_REQUEST, text);
+    let invalid =
+        |text: String| Refusal::invalid(StatusCode::BAD_REQUEST, text);
     if endpoint.id.is_empty() || endpoint.id.len() > 128 {
         return Err(invalid("id must have 1 to 128 bytes".to_owned()));
     }
@@ -205,7 +206,7 @@
     // Without a lease this entry can't know whether the endpoint has left and
     // can't forward the heartbeat. The endpoint has to use another entry.
     require_lease(state)?;
-    if has_left(state, &body.id, body.incarnation) {
+    if has_announced_departure(state, &body.id, body.incarnation) {
         return Err(departed_refusal());
     }
     let service = state
@@ -214,7 +215,7 @@
         .filter(|endpoint| endpoint.incarnation == body.incarnation)
         .map(|endpoint| endpoint.service.clone());
     let Some(service) = service else {
-        return Err(Refusal::bad(
+        return Err(Refusal::invalid(
             StatusCode::NOT_FOUND,
             "not announced, or silent for too long; announce again",
         ));
@@ -276,7 +277,7 @@
     let result = commit_change(state, change::Kind::Depart(depart)).await?;
     if result == endpoint_outcome::Result::Unknown as i32 {
         let text = "no such endpoint and incarnation";
-        return Err(Refusal::bad(StatusCode::NOT_FOUND, text));
+        return Err(Refusal::invalid(StatusCode::NOT_FOUND, text));
     }
     Ok(Response::json(StatusCode::OK, &json!({ "left": true })))
 }
@@ -291,7 +292,7 @@
         .filter(|endpoint| endpoint.incarnation == depart.incarnation)
         .cloned();
     let Some(endpoint) = endpoint else { return };
-    fleet.leave(&depart.id, depart.incarnation, config);
+    fleet.remove_departing(&depart.id, depart.incarnation, config);
     drop(fleet);
     let record = EndpointRecord {
         endpoint: Some(endpoint),
@@ -301,7 +302,7 @@
         within_ms: depart.within_ms,
     };
     state.board.departed.update(|departed| {
-        upsert(departed, record, record_id);
+        upsert(departed, record, endpoint_id);
     });
 }
 
@@ -326,7 +327,11 @@
 }
 
 /// Whether an incarnation of an endpoint has announced that it leaves.
-pub(super) fn has_left(state: &State, id: &str, incarnation: u64) -> bool {
+pub(super) fn has_announced_departure(
+    state: &State,
+    id: &str,
+    incarnation: u64,
+) -> bool {
     state.board.departed.read().iter().any(|record| {
         record.leaving
             && record.endpoint.as_ref().is_some_and(|endpoint| {
@@ -339,7 +344,7 @@
     if state.holds_lease() {
         return Ok(());
     }
-    Err(Refusal::later("this entry is cut off from control", 200))
+    Err(Refusal::retryable("this entry is cut off from control", 200))
 }
 
 fn record_heartbeat(state: &Shared, load: Load) {
@@ -350,7 +355,7 @@
         load.endpoint.as_str()
     });
     drop(renewals);
-    state.fleet().report(state.now(), &[load]);
+    state.fleet().record_loads(state.now(), &[load]);
 }
 
 async fn commit_change(
@@ -361,10 +366,10 @@
     match state.control.propose(change, COMMIT_TIMEOUT, true).await {
         Ok(outcome) => match outcome.kind {
             Some(outcome::Kind::Endpoint(endpoint)) => Ok(endpoint.result),
-            _ => Err(Refusal::later("control gave no answer", 200)),
+            _ => Err(Refusal::retryable("control gave no answer", 200)),
         },
         Err(failure) => {
-            let mut refusal = Refusal::later(failure.to_string(), 200);
+            let mut refusal = Refusal::retryable(failure.to_string(), 200);
             refusal.verdict = failure.verdict();
             Err(refusal)
         }
@@ -392,6 +397,6 @@
 fn parse_body<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, Refusal> {
     serde_json::from_slice(body).map_err(|error| {
         let text = format!("the body is not as it should be: {error}");
-        Refusal::bad(StatusCode::BAD_REQUEST, text)
+        Refusal::invalid(StatusCode::BAD_REQUEST, text)
     })
 }
--- a/src/entry/plain.rs
+++ b/src/entry/plain.rs
@@ -28,10 +28,10 @@
     admission,
     callers::Caller,
     claims::{
-        claim_state, look_up, owner_lives, propose_claim, release, settle,
-        settle_within, settlement,
+        claim_state, is_owner_live, propose_claim, read_claim, release,
+        settle, settle_within, settlement,
     },
-    dispatch::{Answer, Call, Failed, LOAD_HEADER},
+    dispatch::{Answer, Call, CallError, LOAD_HEADER},
     refusal::Refusal,
     state::Shared,
 };
@@ -102,7 +102,7 @@
         call_repeatable(state, service_call).await.map(build_response)
     } else {
         if service_call.caller.key.is_none() {
-            return Err(Refusal::bad(
+            return Err(Refusal::invalid(
                 StatusCode::BAD_REQUEST,
                 "this call may not be repeated; it needs an Idempotency-Key",
             ));
@@ -112,7 +112,7 @@
         let run = state.runtime.spawn(call_once(state.clone(), service_call));
         match run.await {
             Ok(result) => result,
-            Err(_) => Err(Refusal::doubtful("the entry failed")),
+            Err(_) => Err(Refusal::may_have_run("the entry failed")),
         }
     };
     let seconds = state.now().saturating_sub(started_at) as f64 / 1000.0;
@@ -131,10 +131,10 @@
     state: &Shared,
     key: &str,
 ) -> Result<Response, Refusal> {
-    let outcome = look_up(state, key).await?;
+    let outcome = read_claim(state, key).await?;
     match claim_state(&outcome) {
         claim_outcome::State::Settled => read_answer(&outcome),
-        claim_outcome::State::Held if owner_lives(state, &outcome.owner) => {
+        claim_outcome::State::Held if is_owner_live(state, &outcome.owner) => {
             Err(Refusal {
                 status: StatusCode::ACCEPTED,
                 verdict: Verdict::MayHaveRun,
@@ -179,7 +179,8 @@
         let silence = Duration::from_millis(service_call.service.silence_ms);
         let sent_at = state.now();
         let fresh = attempt > 0;
-        let result = state.dispatcher.repeatable(call, silence, fresh).await;
+        let result =
+            state.dispatcher.send_repeatable(call, silence, fresh).await;
         record_end(
             state,
             &service_call.service.name,
@@ -221,7 +222,7 @@
 }
 
 fn no_endpoint(verdict: Verdict) -> Refusal {
-    let mut refusal = Refusal::later("no endpoint could take it", 500);
+    let mut refusal = Refusal::retryable("no endpoint could take it", 500);
     refusal.verdict = verdict;
     refusal
 }
@@ -300,7 +301,7 @@
         let Ok(call) = call(service_call, &endpoint) else { break };
         let silence = Duration::from_millis(service_call.service.silence_ms);
         let sent_at = state.now();
-        let result = state.dispatcher.once(call, silence).await;
+        let result = state.dispatcher.send_once(call, silence).await;
         record_end(
             state,
             &service_call.service.name,
@@ -377,7 +378,7 @@
     state: &Shared,
     key: &str,
     owner: &str,
-    failed: Failed,
+    failed: CallError,
 ) -> Refusal {
     let record = wire::Answer {
         verdict: Verdict::MayHaveRun.as_u32(),
@@ -389,7 +390,7 @@
     state.runtime.spawn(async move {
         settle(&background, settlement).await;
     });
-    Refusal::doubtful(failed.text)
+    Refusal::may_have_run(failed.text)
 }
 
 /// Waits for the answer of the call that holds the claim on the same key.
@@ -403,20 +404,23 @@
         match claim_state(&outcome) {
             claim_outcome::State::Settled => return read_answer(&outcome),
             claim_outcome::State::Mismatch => {
-                return Err(Refusal::bad(
+                return Err(Refusal::invalid(
                     StatusCode::UNPROCESSABLE_ENTITY,
                     "the key was used for another request",
                 ));
             }
             claim_outcome::State::Held => {
-                if !owner_lives(state, &outcome.owner) {
+                if !is_owner_live(state, &outcome.owner) {
                     return Err(owner_lost());
                 }
             }
             // The claim was released: the request was not run, so the caller
             // may retry.
             claim_outcome::State::Unknown | claim_outcome::State::Granted => {
-                return Err(Refusal::later("it was not sent; repeat it", 1));
+                return Err(Refusal::retryable(
+                    "it was not sent; repeat it",
+                    1,
+                ));
             }
         }
         if state.now() + CLAIM_POLL_INTERVAL.as_millis() as u64 >= deadline {
@@ -428,19 +432,19 @@
             });
         }
         sleep(CLAIM_POLL_INTERVAL).await;
-        outcome = look_up(state, key).await?;
+        outcome = read_claim(state, key).await?;
     }
 }
 
 fn owner_lost() -> Refusal {
     let text = "the entry that ran it is gone; it will not be sent again";
-    Refusal::doubtful(text)
+    Refusal::may_have_run(text)
 }
 
 fn read_answer(outcome: &ClaimOutcome) -> Result<Response, Refusal> {
     let answer = outcome.answer.clone().unwrap_or_default();
     if Verdict::from_u32(answer.verdict) != Verdict::Ran {
-        return Err(Refusal::doubtful("its endpoint did not answer"));
+        return Err(Refusal::may_have_run("its endpoint did not answer"));
     }
     let status = u16::try_from(answer.status)
         .ok()
@@ -494,7 +498,7 @@
     endpoint: &Endpoint,
 ) -> Result<Call, Refusal> {
     let address = endpoint.address.parse().map_err(|_| {
-        Refusal::later("an endpoint has no usable address", 500)
+        Refusal::retryable("an endpoint has no usable address", 500)
     })?;
     Ok(Call {
         address,
@@ -510,7 +514,7 @@
     service: &str,
     choice: &Choice,
     sent_at: u64,
-    result: &Result<Answer, Failed>,
+    result: &Result<Answer, CallError>,
 ) {
     let now = state.now();
     let mut fleet = state.fleet();
--- a/src/entry/suspects.rs
+++ b/src/entry/suspects.rs
@@ -10,7 +10,8 @@
 use tracing::warn;
 
 use super::{
-    dispatch::Failed, endpoints::has_left, refusal::Refusal, state::State,
+    dispatch::CallError, endpoints::has_announced_departure, refusal::Refusal,
+    state::State,
 };
 use crate::{
     decide::quarantine::{Crash, Reason, Source, Success},
@@ -32,7 +33,7 @@
         &self,
         fingerprint: u64,
         endpoint: &Endpoint,
-        failed: &Failed,
+        failed: &CallError,
     ) {
         // An endpoint that was not reached did not run the request.
         if failed.verdict == Verdict::NotRun {
@@ -40,12 +41,12 @@
         }
         sleep(CRASH_CHECK_DELAY).await;
         let Ok(address) = endpoint.address.parse() else { return };
-        if !self.dispatcher.has_ended(address).await {
+        if !self.dispatcher.refuses_connections(address).await {
             return;
         }
         // An endpoint that announced its departure exits with requests in
         // flight; its exit is not a crash.
-        if has_left(self, &endpoint.id, endpoint.incarnation) {
+        if has_announced_departure(self, &endpoint.id, endpoint.incarnation) {
             return;
         }
         let now = self.now() as i64;
@@ -85,7 +86,10 @@
         if quarantine.grant_trial(now, fingerprint, reason, 0) {
             return Ok(());
         }
-        Err(Refusal::later(quarantine_text(reason), reason.retry_after_ms()))
+        Err(Refusal::retryable(
+            quarantine_text(reason),
+            reason.retry_after_ms(),
+        ))
     }
 
     /// Returns why a request may not be sent to endpoints now.
