--- a/xtask/tests/generated.rs
+++ b/xtask/tests/generated.rs
@@ -1,4 +1,4 @@
-//! The committed code is what the protocol file gives.
+//! Checks that the committed code matches the protocol file.
 
 use std::fs;
 
