--- a/src/control/client.rs
+++ b/src/control/client.rs
@@ -17,7 +17,9 @@
 use tokio::time::{sleep, timeout};
 use tonic::{Code, Response, Status, transport::Channel};
 
-use super::server::{LEADER_HEADER, MESSAGE_LIMIT, connect, transfer_time};
+use super::server::{
+    LEADER_HEADER, MAX_MESSAGE_BYTES, connect, transfer_time,
+};
 use crate::{
     verdict::Verdict,
     wire::{
@@ -262,8 +264,8 @@
 
 fn open_client(address: SocketAddr) -> ControlClient<Channel> {
     ControlClient::new(connect(address))
-        .max_decoding_message_size(MESSAGE_LIMIT)
-        .max_encoding_message_size(MESSAGE_LIMIT)
+        .max_decoding_message_size(MAX_MESSAGE_BYTES)
+        .max_encoding_message_size(MAX_MESSAGE_BYTES)
 }
 
 fn classify_status(status: &Status) -> (Effect, String, Option<SocketAddr>) {
--- a/src/control/server.rs
+++ b/src/control/server.rs
@@ -41,7 +41,7 @@
 /// Capacity of the message queue of one peer; Raft resends dropped messages.
 const MAX_QUEUED_MESSAGES: usize = 256;
 /// Maximum size of a message, in bytes; large enough for a snapshot.
-pub const MESSAGE_LIMIT: usize = 256 * 1024 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 256 * 1024 * 1024;
 
 /// The gRPC services of one member.
 #[derive(Clone, Debug)]
@@ -72,14 +72,14 @@
 
     /// Returns the service that other members call.
     pub fn members(self) -> MembersServer<Service> {
-        MembersServer::new(self).max_decoding_message_size(MESSAGE_LIMIT)
+        MembersServer::new(self).max_decoding_message_size(MAX_MESSAGE_BYTES)
     }
 
     /// Returns the service that entries, nodes and operators call.
     pub fn control(self) -> ControlServer<Service> {
         ControlServer::new(self)
-            .max_decoding_message_size(MESSAGE_LIMIT)
-            .max_encoding_message_size(MESSAGE_LIMIT)
+            .max_decoding_message_size(MAX_MESSAGE_BYTES)
+            .max_encoding_message_size(MAX_MESSAGE_BYTES)
     }
 
     async fn send_command(&self, command: Command) -> Result<(), Status> {
@@ -253,7 +253,7 @@
 async fn run_link(address: SocketAddr, mut queue: mpsc::Receiver<Envelope>) {
     let open_client = || {
         MembersClient::new(connect(address))
-            .max_encoding_message_size(MESSAGE_LIMIT)
+            .max_encoding_message_size(MAX_MESSAGE_BYTES)
     };
     let mut client = open_client();
     let mut envelopes = Vec::new();
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -39,7 +39,7 @@
     state::{Shared, State},
 };
 use crate::{
-    control::server::{MESSAGE_LIMIT, connect},
+    control::server::{MAX_MESSAGE_BYTES, connect},
     util::position,
     wire::{
         EntryInfo, FetchReply, FetchRequest, HoldReply, HoldRequest, Progress,
@@ -113,8 +113,8 @@
 
 fn open_client(address: SocketAddr) -> PeersClient<Channel> {
     PeersClient::new(connect(address))
-        .max_decoding_message_size(MESSAGE_LIMIT)
-        .max_encoding_message_size(MESSAGE_LIMIT)
+        .max_decoding_message_size(MAX_MESSAGE_BYTES)
+        .max_encoding_message_size(MAX_MESSAGE_BYTES)
 }
 
 /// Sends progress reports of all requests that one peer holds copies of.
@@ -436,8 +436,8 @@
     stop: impl Future<Output = ()>,
 ) -> Result<(), tonic::transport::Error> {
     let service = PeersServer::new(Service { state })
-        .max_decoding_message_size(MESSAGE_LIMIT)
-        .max_encoding_message_size(MESSAGE_LIMIT);
+        .max_decoding_message_size(MAX_MESSAGE_BYTES)
+        .max_encoding_message_size(MAX_MESSAGE_BYTES);
     tonic::transport::Server::builder()
         .http2_keepalive_interval(Some(Duration::from_secs(5)))
         .http2_keepalive_timeout(Some(Duration::from_secs(2)))
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -12,7 +12,7 @@
 
 use super::{Node, lock};
 use crate::{
-    control::server::{MESSAGE_LIMIT, Service},
+    control::server::{MAX_MESSAGE_BYTES, Service},
     wire::{
         Caches, Empty, Levels, PutPlan, Sightings,
         nodes_server::{Nodes, NodesServer},
@@ -26,7 +26,7 @@
     // kept a leader busy for two seconds, and it lost its leadership. The
     // hashes in the other answers are not compressible.
     let nodes = NodesServer::new(PeerService { node: node.clone() })
-        .max_encoding_message_size(MESSAGE_LIMIT);
+        .max_encoding_message_size(MAX_MESSAGE_BYTES);
     let seat = node.seat.clone().map(Service::of_seat);
     let mut stop_signal = node.stop_peer_server.subscribe();
     let stop = async move {
--- a/src/node/plan.rs
+++ b/src/node/plan.rs
@@ -17,7 +17,7 @@
     control::{
         client::Error,
         seat,
-        server::{MESSAGE_LIMIT, connect},
+        server::{MAX_MESSAGE_BYTES, connect},
     },
     gateway::plan::{Invalid, Plan},
     mesh::table,
@@ -268,7 +268,7 @@
 pub(super) async fn fetch(node: Arc<Node>, from: Ipv4Addr) {
     let address = SocketAddr::from((from, node.peer_port));
     let mut client = NodesClient::new(connect(address))
-        .max_decoding_message_size(MESSAGE_LIMIT);
+        .max_decoding_message_size(MAX_MESSAGE_BYTES);
     let started_at = Instant::now();
     // A transfer that exceeds a fixed timeout exceeds it each time, so a node
     // with a slow link would never get a large plan.
--- a/src/node/recall.rs
+++ b/src/node/recall.rs
@@ -27,7 +27,7 @@
 
 use super::{Node, plan};
 use crate::{
-    control::server::{MESSAGE_LIMIT, connect},
+    control::server::{MAX_MESSAGE_BYTES, connect},
     util::wall_ms,
     wire::{
         Caches, Crash, Empty, Levels, Memory, Sighting, Sightings,
@@ -257,7 +257,7 @@
 ) -> Result<Caches, tonic::Status> {
     let address = SocketAddr::from((from, node.peer_port));
     let mut client = NodesClient::new(connect(address))
-        .max_decoding_message_size(MESSAGE_LIMIT);
+        .max_decoding_message_size(MAX_MESSAGE_BYTES);
     Ok(client.recall(Empty {}).await?.into_inner())
 }
 
