--- a/src/control/member.rs
+++ b/src/control/member.rs
@@ -52,7 +52,7 @@
 ///
 /// Well below the minimum election timeout, so that the leader stops before
 /// another member can be elected.
-const OFFICE_LEASE_MS: u64 = 500;
+const LEADERSHIP_LEASE_MS: u64 = 500;
 /// Time after which an unchanged commit index is persisted on its own, in ms.
 ///
 /// The next log entry, if one arrives earlier, persists it without an extra
@@ -113,11 +113,11 @@
 common! {
     copy
     /// A leader's right to act for the whole system, at one point in time.
-    pub struct Office {
+    pub struct Leadership {
         /// The leader's term, used as fencing token.
         pub term: u64,
         /// Time since the member became leader, in ms.
-        pub held_ms: u64,
+        pub leading_ms: u64,
         /// Whether the cluster has had no leader before: the member started
         /// the cluster and leads for the first time.
         pub is_first: bool,
@@ -155,7 +155,7 @@
     /// Write the first member list; only after all members were probed.
     Bootstrap(Vec<Member>),
     /// Return the leadership if this member may act for the whole system now.
-    Office(oneshot::Sender<Option<Office>>),
+    Leadership(oneshot::Sender<Option<Leadership>>),
     /// Ask the member with this id to add this member to the cluster.
     Join(u64),
     /// Stop the thread.
@@ -305,22 +305,22 @@
                 info!(target: "control", "Starting a new cluster.");
                 self.node.bootstrap(members);
             }
-            Command::Office(answer) => {
-                let _ = answer.send(self.office());
+            Command::Leadership(answer) => {
+                let _ = answer.send(self.leadership());
             }
             Command::Join(leader) => self.join(leader),
             Command::Stop => {}
         }
     }
 
-    fn office(&self) -> Option<Office> {
-        if !self.node.holds_quorum(self.now, OFFICE_LEASE_MS) {
+    fn leadership(&self) -> Option<Leadership> {
+        if !self.node.holds_quorum(self.now, LEADERSHIP_LEASE_MS) {
             return None;
         }
-        let held_ms = self.now.saturating_sub(self.leader_since);
+        let leading_ms = self.now.saturating_sub(self.leader_since);
         let founded = self.seat.as_ref().is_some_and(|seat| seat.founded);
         let is_first = founded && self.times_led == 1;
-        Some(Office { term: self.node.term(), held_ms, is_first })
+        Some(Leadership { term: self.node.term(), leading_ms, is_first })
     }
 
     fn join(&mut self, leader: u64) {
--- a/src/control/seat.rs
+++ b/src/control/seat.rs
@@ -31,7 +31,7 @@
 use super::{
     Error,
     disk::Disk,
-    member::{Command, Office, Seat, Thread, View},
+    member::{Command, Leadership, Seat, Thread, View},
     raft::{Identity, Node, Timing},
     server::Link,
 };
@@ -124,9 +124,9 @@
     }
 
     /// Returns the leadership if this member may act for the whole system now.
-    pub async fn office(&self) -> Option<Office> {
+    pub async fn leadership(&self) -> Option<Leadership> {
         let (answer, answered) = oneshot::channel();
-        self.commands()?.send(Command::Office(answer)).await.ok()?;
+        self.commands()?.send(Command::Leadership(answer)).await.ok()?;
         answered.await.ok()?
     }
 
--- a/src/duty/mod.rs
+++ b/src/duty/mod.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     board::Cell,
-    control::{client::Client, member::Office, seat},
+    control::{client::Client, member::Leadership, seat},
     gateway::plan::Plan,
     mesh,
     timer::Timer,
@@ -150,12 +150,13 @@
     /// Returns this node's fencing token while it may act for the whole
     /// system.
     pub async fn token(&self, options: &Options) -> Option<FencingToken> {
-        let Office { term, held_ms, is_first } = self.seat.office().await?;
+        let Leadership { term, leading_ms, is_first } =
+            self.seat.leadership().await?;
         // A leader waits until no call of its predecessor can be in transit.
         // The first leader of a cluster has no predecessor. If it waited, the
         // ordinary replicas that serve until reclaimable ones have booted
         // would be paid for three and a half seconds longer.
-        if !is_first && held_ms < options.lease_ms + MAX_CALL_TRANSIT_MS {
+        if !is_first && leading_ms < options.lease_ms + MAX_CALL_TRANSIT_MS {
             return None;
         }
         Some(FencingToken { holder: options.holder.clone(), fence: term })
--- a/tests/all/nodes.rs
+++ b/tests/all/nodes.rs
@@ -362,16 +362,16 @@
         let seat = seat::spawn(options, Timer::spawn());
         let leads = async {
             loop {
-                if let Some(office) = seat.office().await {
-                    return office;
+                if let Some(leadership) = seat.leadership().await {
+                    return leadership;
                 }
                 sleep(Duration::from_millis(20)).await;
             }
         };
-        let office = timeout(STEP_TIMEOUT, leads)
+        let leadership = timeout(STEP_TIMEOUT, leads)
             .await
             .expect("node did not become leader");
-        assert_eq!(office.is_first, first);
+        assert_eq!(leadership.is_first, first);
         seat.stop().await;
     }
 }
