--- a/src/control/member.rs
+++ b/src/control/member.rs
@@ -126,11 +126,11 @@
 
 /// Settings of a dynamic member, whose peers are not in its settings file.
 #[derive(Clone, Debug)]
-pub struct Seat {
+pub struct DynamicMember {
     /// The address at which other members reach this member.
     pub address: String,
     /// Number of voters below which a new cluster accepts no plan.
-    pub least_voters: usize,
+    pub min_voters: usize,
     /// Whether this process started the cluster.
     pub founded: bool,
     /// The channel on which the member publishes its view.
@@ -195,7 +195,7 @@
     proposed_departures: Vec<Depart>,
     departures_cleared_at: u64,
     next_membership_at: u64,
-    seat: Option<Seat>,
+    dynamic: Option<DynamicMember>,
     /// Time when this member became leader, in ms.
     leader_since: u64,
     /// Members that do not answer the leader, with the time since their last
@@ -239,7 +239,7 @@
             proposed_departures: Vec::new(),
             departures_cleared_at: 0,
             next_membership_at: 0,
-            seat: None,
+            dynamic: None,
             leader_since: 0,
             unheard: Vec::new(),
             times_led: 0,
@@ -249,9 +249,9 @@
     }
 
     /// Makes this member a dynamic one.
-    pub fn with_seat(mut self, seat: Seat) -> Thread {
-        self.node.set_min_healthy_voters(seat.least_voters);
-        self.seat = Some(seat);
+    pub fn with_dynamic_member(mut self, dynamic: DynamicMember) -> Thread {
+        self.node.set_min_healthy_voters(dynamic.min_voters);
+        self.dynamic = Some(dynamic);
         self
     }
 
@@ -318,16 +318,17 @@
             return None;
         }
         let leading_ms = self.now.saturating_sub(self.leader_since);
-        let founded = self.seat.as_ref().is_some_and(|seat| seat.founded);
+        let founded =
+            self.dynamic.as_ref().is_some_and(|dynamic| dynamic.founded);
         let is_first = founded && self.times_led == 1;
         Some(Leadership { term: self.node.term(), leading_ms, is_first })
     }
 
     fn join(&mut self, leader: u64) {
-        let Some(seat) = &self.seat else { return };
+        let Some(dynamic) = &self.dynamic else { return };
         let hears_leader = self.node.hears_leader(self.now);
         if !hears_leader && leader != self.node.identity().id {
-            self.node.request_join(leader, seat.address.clone());
+            self.node.request_join(leader, dynamic.address.clone());
         }
     }
 
@@ -335,9 +336,9 @@
     ///
     /// A plan acknowledged by one disk alone is lost with that disk.
     fn lacks_voters(&self) -> bool {
-        let Some(seat) = &self.seat else { return false };
+        let Some(dynamic) = &self.dynamic else { return false };
         let voters = self.node.members().iter().filter(|member| member.voter);
-        self.ledger.plan_version() == 0 && voters.count() < seat.least_voters
+        self.ledger.plan_version() == 0 && voters.count() < dynamic.min_voters
     }
 
     fn propose(&mut self, mut change: Change, answer: Answer<Outcome>) {
@@ -570,10 +571,10 @@
 
     /// Updates the view, and notifies its receivers only if it changed.
     fn publish_view(&self) {
-        let Some(seat) = &self.seat else { return };
+        let Some(dynamic) = &self.dynamic else { return };
         let version = self.ledger.plan_version();
         let hears_leader = self.node.hears_leader(self.now);
-        seat.view.send_if_modified(|view| {
+        dynamic.view.send_if_modified(|view| {
             let published_version =
                 view.plan.as_ref().map_or(0, |plan| plan.version);
             let changed = view.term != self.node.term()
@@ -625,7 +626,10 @@
         }
         let is_stable =
             self.now >= self.last_commit.1 + COMMIT_PERSIST_DELAY_MS;
-        if self.seat.is_some() && is_stable && commit > self.persisted_commit {
+        if self.dynamic.is_some()
+            && is_stable
+            && commit > self.persisted_commit
+        {
             self.disk.append(Some(self.node.hard_state()), Vec::new())?;
             self.persisted_commit = commit;
         }
--- a/src/control/seat.rs
+++ b/src/control/seat.rs
@@ -31,7 +31,7 @@
 use super::{
     Error,
     disk::Disk,
-    member::{Command, Leadership, Seat, Thread, View},
+    member::{Command, DynamicMember, Leadership, Thread, View},
     raft::{Identity, Node, Timing},
     server::Link,
 };
@@ -70,7 +70,7 @@
     /// Whether the member starts a new cluster if its folder is empty.
     pub founds: bool,
     /// Number of voters below which a new cluster accepts no plan.
-    pub least_voters: usize,
+    pub min_voters: usize,
 }
 
 /// A running dynamic member; clones refer to the same member.
@@ -91,12 +91,12 @@
 }
 
 /// Returns the id of the member at an address.
-pub fn id_of(address: SocketAddrV4) -> u64 {
+pub fn member_id(address: SocketAddrV4) -> u64 {
     u64::from(u32::from(*address.ip())) << 16 | u64::from(address.port())
 }
 
 /// Returns the address of the member with an id.
-pub fn address_of(id: u64) -> SocketAddrV4 {
+pub fn member_address(id: u64) -> SocketAddrV4 {
     SocketAddrV4::new(((id >> 16) as u32).into(), id as u16)
 }
 
@@ -199,7 +199,7 @@
 ) -> Result<mpsc::Sender<Command>, Error> {
     let (disk, saved) = Disk::open(&options.folder)?;
     let me = Identity {
-        id: id_of(options.address),
+        id: member_id(options.address),
         incarnation: disk.incarnation(),
     };
     let timing = Timing {
@@ -227,16 +227,16 @@
     }
     let (commands, queue) = mpsc::channel(MAX_QUEUED_COMMANDS);
     let state = snapshot.as_ref().map(|snapshot| snapshot.state.as_slice());
-    let seat = Seat {
+    let seat = DynamicMember {
         address: options.address.to_string(),
-        least_voters: options.least_voters,
+        min_voters: options.min_voters,
         founded,
         view: view.clone(),
     };
     let links = Links::open(tokio::runtime::Handle::current());
     let thread =
         Thread::open(node, disk, state, ENTRIES_PER_SNAPSHOT, links.sender())
-            .with_seat(seat);
+            .with_dynamic_member(seat);
     std::thread::Builder::new().name("member".into()).spawn(move || {
         let _ = result_sender.send(thread.run(queue));
     })?;
@@ -279,7 +279,7 @@
             Ok(at) => at,
             Err(at) => {
                 let _guard = self.runtime.enter();
-                let link = Link::spawn(SocketAddr::V4(address_of(id)));
+                let link = Link::spawn(SocketAddr::V4(member_address(id)));
                 self.open.insert(at, (id, link));
                 at
             }
--- a/src/control/server.rs
+++ b/src/control/server.rs
@@ -66,7 +66,7 @@
     }
 
     /// Like [`Service::new`], for a member whose thread may be restarted.
-    pub fn of_seat(seat: seat::Handle) -> Service {
+    pub fn for_dynamic_member(seat: seat::Handle) -> Service {
         Service { thread: Thread::Restartable(seat) }
     }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -179,7 +179,7 @@
             address: options.peer_address,
             folder,
             founds: options.founds,
-            least_voters: 2 * options.survivable_disk_losses + 1,
+            min_voters: 2 * options.survivable_disk_losses + 1,
         };
         seat::spawn(options, timer.clone())
     });
@@ -514,7 +514,7 @@
         };
         self.control.set_members(&members);
         if leader != 0 {
-            self.control.prefer_once(seat::address_of(leader).into());
+            self.control.prefer_once(seat::member_address(leader).into());
         }
         if newer && !self.is_fetching_plan.swap(true, Ordering::Relaxed) {
             tokio::spawn(plan::fetch_newer(self.clone()));
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -27,7 +27,7 @@
     // hashes in the other answers are not compressible.
     let nodes = NodesServer::new(PeerService { node: node.clone() })
         .max_encoding_message_size(MAX_MESSAGE_BYTES);
-    let seat = node.seat.clone().map(Service::of_seat);
+    let seat = node.seat.clone().map(Service::for_dynamic_member);
     let mut stop_signal = node.stop_peer_server.subscribe();
     let stop = async move {
         // Never fails: `node` owns the sender.
--- a/src/node/plan.rs
+++ b/src/node/plan.rs
@@ -114,7 +114,7 @@
         if own.link_mbps == 0 || transfer_ms <= MAX_ANSWER_TRANSFER_MS {
             return None;
         }
-        let leader = u32::from(*seat::address_of(own.leader).ip());
+        let leader = u32::from(*seat::member_address(own.leader).ip());
         let is_faster_leader = |node: &&table::Node| {
             node.peer.ip == leader
                 && node.peer.link_mbps >= MIN_BANDWIDTH_RATIO * own.link_mbps
@@ -249,7 +249,7 @@
     let Some(mesh) = node.mesh.get() else { return (Vec::new(), None) };
     let table = mesh.table();
     let held = node.gateway.plan_version();
-    let leader = *seat::address_of(table.own_peer().leader).ip();
+    let leader = *seat::member_address(table.own_peer().leader).ip();
     let now = node.gateway.timer.now();
     let newer = table.live(now).filter(|other| other.peer.plan_version > held);
     let (leader, others): (Vec<_>, Vec<_>) =
--- a/tests/all/large_plan.rs
+++ b/tests/all/large_plan.rs
@@ -128,7 +128,7 @@
         incarnation: 1,
         data_centre: "one".to_owned(),
         has_disk: true,
-        leader: seat::id_of(SocketAddrV4::new(at, PORT)),
+        leader: seat::member_id(SocketAddrV4::new(at, PORT)),
         leader_term: 1,
         ..Peer::default()
     };
--- a/tests/all/nodes.rs
+++ b/tests/all/nodes.rs
@@ -357,7 +357,7 @@
             address: SocketAddrV4::new(ip, PORT),
             folder: folder.0.clone(),
             founds: true,
-            least_voters: 1,
+            min_voters: 1,
         };
         let seat = seat::spawn(options, Timer::spawn());
         let leads = async {
