--- a/soak/src/caller.rs
+++ b/soak/src/caller.rs
@@ -1,5 +1,5 @@
-//! Callers: they ask where to connect, keep connections until these are
-//! gone, and check every answer.
+//! Stand-in callers, which look up entries in the directory, reuse connections
+//! until they close, and check every answer.
 
 use std::{
     net::SocketAddrV4,
@@ -19,15 +19,15 @@
     KEY, Shared,
     http::{Failed, Sender, call, connect},
     promise::Kind,
-    replica::{EVENTS, body, event, seal},
+    replica::{STREAM_EVENTS, body, event, seal},
 };
 
-/// How long a caller waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(6);
-/// How long an answer of the directory is kept.
-const KEPT: Duration = Duration::from_secs(2);
+/// Time for which a caller waits for an answer.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(6);
+/// Time for which a caller caches an answer of the directory.
+const DIRECTORY_CACHE_TTL: Duration = Duration::from_secs(2);
 
-/// One caller, which asks one thing after the other.
+/// One caller, which sends one request at a time.
 pub struct Caller {
     shared: Arc<Shared>,
     rng: StdRng,
@@ -39,7 +39,7 @@
 }
 
 impl Caller {
-    /// Starts with nothing known.
+    /// Creates a caller that knows no entries yet.
     pub fn new(shared: Arc<Shared>, number: u64) -> Caller {
         let rng = StdRng::seed_from_u64(shared.seed ^ (number << 32));
         Caller {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Asks until the soak stops.
+    /// Sends requests until the soak stops.
     pub async fn run(mut self) {
         while self.shared.is_running() {
             let pause = self.rng.random_range(20..600);
@@ -67,18 +67,21 @@
                 self.requests
             );
             let began = Instant::now();
-            match timeout(PATIENCE, self.ask(kind, &id)).await {
-                Ok(Ok(true)) => self.shared.ledger.served(began.elapsed()),
-                Ok(Ok(false)) => self.shared.ledger.refused(kind, &id),
+            match timeout(REQUEST_TIMEOUT, self.ask(kind, &id)).await {
+                Ok(Ok(true)) => {
+                    self.shared.ledger.record_served(began.elapsed())
+                }
+                Ok(Ok(false)) => self.shared.ledger.record_refused(kind, &id),
                 Ok(Err(_)) | Err(_) => {
                     self.connection = None;
-                    self.shared.ledger.failed();
+                    self.shared.ledger.record_failed();
                 }
             }
         }
     }
 
-    /// True when it was served, false when it did not run.
+    /// Sends a request. Returns true if it was served and false if it did not
+    /// run.
     async fn ask(&mut self, kind: Kind, id: &str) -> Result<bool, Failed> {
         let mut sender = match self.connection.take() {
             Some(kept) if kept.is_ready() => kept,
@@ -90,7 +93,7 @@
             .header("host", "here")
             .header("authorization", format!("Bearer {KEY}"))
             .header(wire::REQUEST_ID, id)
-            .header(wire::DEADLINE, PATIENCE.as_millis().to_string())
+            .header(wire::DEADLINE, REQUEST_TIMEOUT.as_millis().to_string())
             .body(Full::new(Bytes::from(body(id))))?;
         let answer = sender.send_request(request).await?;
         let served = self.check(kind, id, answer).await?;
@@ -114,30 +117,36 @@
         match status {
             200..300 => {}
             408 | 421 | 429 | 503 => return Ok(false),
-            500..600 => return Err(Failed("failed".to_owned())),
+            500..600 => return Err(Failed("server error".to_owned())),
             _ => {
-                ledger.breach(format!("{id}: {status} for a proper request"));
-                return Err(Failed("denied".to_owned()));
+                ledger.record_breach(format!(
+                    "{id}: status {status} for a valid request"
+                ));
+                return Err(Failed("unexpected status".to_owned()));
             }
         }
         if sealed.as_deref() != Some(&seal(id)) {
-            ledger.breach(format!("{id}: success with the seal {sealed:?}"));
+            ledger.record_breach(format!(
+                "{id}: success with the wrong seal {sealed:?}"
+            ));
         }
         let whole = match kind {
             Kind::Again | Kind::Once => body(id),
             Kind::Stream | Kind::Resume => {
-                (1..=EVENTS).map(|number| event(id, number)).collect()
+                (1..=STREAM_EVENTS).map(|number| event(id, number)).collect()
             }
         };
         if text != whole {
-            ledger.breach(format!("{kind:?} {id}: ended as whole: {text:?}"));
+            ledger.record_breach(format!(
+                "{kind:?} {id}: wrong or incomplete body: {text:?}"
+            ));
         }
         Ok(true)
     }
 
-    /// An entry, by the directory.
+    /// Returns the proxy address of a random entry from the directory.
     async fn entry(&mut self) -> Result<SocketAddrV4, Failed> {
-        if self.known_at.is_none_or(|at| at.elapsed() > KEPT) {
+        if self.known_at.is_none_or(|at| at.elapsed() > DIRECTORY_CACHE_TTL) {
             let directory = self.shared.any_directory();
             let asked = call(directory, Method::GET, wire::LOOKUP, None).await;
             if let Ok((status, answer)) = asked
@@ -148,8 +157,9 @@
             }
         }
         let entry = self.known.choose(&mut self.rng);
-        let nobody = || Failed("nobody says where to connect".to_owned());
-        let entry = *entry.ok_or_else(nobody)?;
+        let no_entry =
+            || Failed("the directory has returned no entries".to_owned());
+        let entry = *entry.ok_or_else(no_entry)?;
         Ok(self.shared.through_proxy(entry))
     }
 }
--- a/soak/src/fatal.rs
+++ b/soak/src/fatal.rs
@@ -1,5 +1,5 @@
-//! A caller whose request ends each replica that runs it, and that comes again
-//! under new ids at any node, for as long as the run lasts.
+//! A caller whose request crashes each replica that runs it. The caller sends
+//! the request to random nodes under new ids for the whole run.
 
 use std::{net::SocketAddrV4, sync::Arc, time::Duration};
 
@@ -16,20 +16,21 @@
     http::{Failed, connect},
 };
 
-/// Its path.
+/// Path of the fatal request.
 pub const PATH: &str = "/again/fatal";
-/// Replicas that it may end before all nodes have to know.
-const ENDS: u32 = 3;
-/// Times that it may reach replicas after that, at nodes in touch.
-const MORE: u32 = 3;
-/// How soon nodes that run and hear each other have to know.
-const CONTACT: Duration = Duration::from_secs(3);
-/// Until all nodes know new replicas.
-const KNOWN: Duration = Duration::from_millis(1500);
-/// How long its caller waits.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Crashes after which all nodes have to quarantine the fatal request.
+const QUARANTINE_CRASHES: u32 = 3;
+/// Maximum number of further crashes after that, while the nodes are
+/// connected.
+const MAX_LATER_CRASHES: u32 = 3;
+/// Time within which running, connected nodes have to learn of the crashes.
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
+/// Time until all nodes know new replicas.
+const DISCOVERY_TIME: Duration = Duration::from_millis(1500);
+/// Time for which the caller waits for an answer.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Sends it until the soak stops.
+/// Sends the fatal request to random nodes until the soak stops.
 pub async fn repeat(shared: Arc<Shared>) {
     let mut rng = StdRng::seed_from_u64(shared.seed ^ 0xfa7a1);
     let mut number = 0;
@@ -38,35 +39,35 @@
         let proxy = shared.fronts().choose(&mut rng);
         let Some(front) = proxy.map(|proxy| proxy.address) else { continue };
         number += 1;
-        // What comes of it is seen at the replicas.
-        let _ = timeout(PATIENCE, send(&shared, front, number)).await;
+        // The replicas record the effect; the answer does not matter.
+        let _ = timeout(REQUEST_TIMEOUT, send(&shared, front, number)).await;
     }
 }
 
-/// Sends it to each node, after the last fault, and counts what it ends of
-/// replicas that are all new.
-pub async fn judge(
+/// Sends the fatal request to each node after the last fault, and checks how
+/// many of the new replicas it crashes.
+pub async fn check_quarantine(
     shared: &Shared,
     faults: &mut Faults,
 ) -> std::io::Result<()> {
-    sleep(CONTACT).await;
-    let before = shared.ledger.ends();
-    if before < ENDS {
+    sleep(PROPAGATION_TIME).await;
+    let before = shared.ledger.fatal_crashes();
+    if before < QUARANTINE_CRASHES {
         return Ok(());
     }
     faults.refill().await?;
-    sleep(KNOWN).await;
+    sleep(DISCOVERY_TIME).await;
     for round in 0..3 {
         for (at, proxy) in shared.fronts().iter().enumerate() {
             let number = 100_000 + round * 1000 + at as u64;
             let sent = send(shared, proxy.address, number);
-            let _ = timeout(PATIENCE, sent).await;
+            let _ = timeout(REQUEST_TIMEOUT, sent).await;
         }
     }
-    let more = shared.ledger.ends() - before;
-    if more > MORE {
+    let more = shared.ledger.fatal_crashes() - before;
+    if more > MAX_LATER_CRASHES {
         let text = format!("{more} replicas more after {before}");
-        shared.ledger.breach(format!("{PATH} has ended {text}"));
+        shared.ledger.record_breach(format!("{PATH} has ended {text}"));
     }
     Ok(())
 }
@@ -83,7 +84,7 @@
         .header("host", "here")
         .header("authorization", format!("Bearer {KEY}"))
         .header(wire::REQUEST_ID, id)
-        .header(wire::DEADLINE, PATIENCE.as_millis().to_string())
+        .header(wire::DEADLINE, REQUEST_TIMEOUT.as_millis().to_string())
         .body(Full::new(Bytes::from_static(b"the same each time")))?;
     let mut sender = connect(front).await?;
     Ok(sender.send_request(request).await?.status())
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, when, and how it is made good again.
+//! Injects faults and schedules their repair.
 
 use std::{
     fs,
@@ -13,47 +13,48 @@
 use crate::{
     Shared,
     proxy::{Mode, Proxy},
-    replica::{Replica, speak_nonsense},
+    replica::{Replica, send_malformed_heartbeat},
     site::{DISKS, Site},
 };
 
-/// After a disk was lost, before the next one may be.
-const SYNC: Duration = Duration::from_secs(6);
-/// From SIGTERM to SIGKILL.
-const GRACE: Duration = Duration::from_secs(8);
-/// After how many of the faults there is another one besides.
-const BESIDES: f64 = 0.3;
-/// Kinds of fault, by number.
-const KINDS: u32 = 13;
+/// Minimum time between the losses of two disks.
+const MIN_DISK_LOSS_INTERVAL: Duration = Duration::from_secs(6);
+/// Time between SIGTERM and SIGKILL.
+const TERM_GRACE_PERIOD: Duration = Duration::from_secs(8);
+/// Share of the faults after which an extra fault is injected.
+const EXTRA_FAULT_SHARE: f64 = 0.3;
+/// Number of kinds of fault, without the extra ones.
+const FAULT_KINDS: u32 = 13;
 
-/// What is due later.
+/// A scheduled action that ends a fault.
 #[derive(Debug)]
-enum Cure {
+enum Repair {
     Start(usize),
     Thaw(usize),
     Kill(usize),
-    GiveDiskBack(usize),
+    RestoreDisk(usize),
     Heal(Proxy),
 }
 
-/// Everything that can be harmed.
+/// Injects faults into the nodes, replicas and links of one run.
 pub struct Faults {
     shared: Arc<Shared>,
     site: Site,
     replicas: Vec<Replica>,
     cloud: Proxy,
     rng: StdRng,
-    /// For faults besides: those of a seed stay as they were.
-    besides: StdRng,
-    cures: Vec<(Instant, Cure)>,
+    /// Chooses extra faults. Separate from `rng`, so that a seed still gives
+    /// the same other faults as before.
+    extra_rng: StdRng,
+    repairs: Vec<(Instant, Repair)>,
     disk_lost_at: Option<Instant>,
     next_replica: u64,
-    /// What has happened, for the report.
-    pub played: Vec<&'static str>,
+    /// Faults injected so far, for the report.
+    pub injected: Vec<&'static str>,
 }
 
 impl Faults {
-    /// Nothing has happened yet.
+    /// Creates an injector that has injected no faults yet.
     pub fn new(
         shared: Arc<Shared>,
         site: Site,
@@ -61,7 +62,7 @@
         cloud: Proxy,
     ) -> Faults {
         let rng = StdRng::seed_from_u64(shared.seed);
-        let besides = StdRng::seed_from_u64(!shared.seed);
+        let extra_rng = StdRng::seed_from_u64(!shared.seed);
         let next_replica = replicas.len() as u64;
         Faults {
             shared,
@@ -69,30 +70,33 @@
             replicas,
             cloud,
             rng,
-            besides,
-            cures: Vec::new(),
+            extra_rng,
+            repairs: Vec::new(),
             disk_lost_at: None,
             next_replica,
-            played: Vec::new(),
+            injected: Vec::new(),
         }
     }
 
-    /// Harms until `until`, then makes everything good again.
-    pub async fn play(&mut self, until: Instant) -> std::io::Result<()> {
+    /// Injects faults until `until`, then repairs all of them.
+    pub async fn inject_until(
+        &mut self,
+        until: Instant,
+    ) -> std::io::Result<()> {
         while Instant::now() < until {
             let pause = self.rng.random_range(150..1200);
             sleep(Duration::from_millis(pause)).await;
-            self.cure(Instant::now()).await?;
-            self.look();
+            self.repair(Instant::now()).await?;
+            self.schedule_restarts();
             self.replace_ended().await?;
-            self.harm().await?;
-            if self.besides.random_bool(BESIDES) {
-                self.harm_besides().await?;
+            self.inject().await?;
+            if self.extra_rng.random_bool(EXTRA_FAULT_SHARE) {
+                self.inject_extra().await?;
             }
         }
-        while let Some(last) = self.cures.iter().map(|(at, _)| *at).max() {
+        while let Some(last) = self.repairs.iter().map(|(at, _)| *at).max() {
             sleep(Duration::from_millis(50)).await;
-            self.cure(Instant::now().min(last)).await?;
+            self.repair(Instant::now().min(last)).await?;
         }
         for at in 0..self.site.nodes.len() {
             self.site.start(at, false)?;
@@ -100,49 +104,50 @@
         Ok(())
     }
 
-    /// Notes processes that ended by themselves, and starts them again.
-    pub fn look(&mut self) {
-        for text in self.site.ended_by_themselves() {
-            self.shared.ledger.breach(text);
+    /// Records unexpected exits of node processes as breaches, and
+    /// schedules a restart of each stopped node.
+    pub fn schedule_restarts(&mut self) {
+        for text in self.site.take_unexpected_exits() {
+            self.shared.ledger.record_breach(text);
         }
         for at in 0..self.site.nodes.len() {
-            let due = self.cures.iter().any(|(_, cure)| match cure {
-                Cure::Start(one) | Cure::GiveDiskBack(one) => *one == at,
+            let due = self.repairs.iter().any(|(_, repair)| match repair {
+                Repair::Start(one) | Repair::RestoreDisk(one) => *one == at,
                 _ => false,
             });
             if !self.site.is_up(at) && !due {
-                self.later(200, Cure::Start(at));
+                self.schedule(200, Repair::Start(at));
             }
         }
     }
 
-    fn later(&mut self, ms: u64, cure: Cure) {
+    fn schedule(&mut self, ms: u64, repair: Repair) {
         let at = Instant::now() + Duration::from_millis(ms);
-        self.cures.push((at, cure));
+        self.repairs.push((at, repair));
     }
 
-    async fn cure(&mut self, now: Instant) -> std::io::Result<()> {
-        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.cures)
+    async fn repair(&mut self, now: Instant) -> std::io::Result<()> {
+        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.repairs)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        self.cures = rest;
-        for (_, cure) in due {
-            match cure {
-                Cure::Start(at) => self.site.start(at, false)?,
-                Cure::Thaw(at) => {
-                    self.shared.ledger.excuse();
+        self.repairs = rest;
+        for (_, repair) in due {
+            match repair {
+                Repair::Start(at) => self.site.start(at, false)?,
+                Repair::Thaw(at) => {
+                    self.shared.ledger.permit_late_calls();
                     self.site.signal(at, Signal::SIGCONT);
                 }
-                Cure::Kill(at) => self.site.kill(at),
-                Cure::GiveDiskBack(at) => {
+                Repair::Kill(at) => self.site.kill(at),
+                Repair::RestoreDisk(at) => {
                     let disk = self.site.disk(at);
                     self.site.kill(at);
                     fs::remove_file(&disk)?;
                     fs::rename(disk.with_extension("aside"), &disk)?;
                     self.site.start(at, false)?;
                 }
-                Cure::Heal(proxy) => {
-                    self.shared.ledger.excuse();
+                Repair::Heal(proxy) => {
+                    self.shared.ledger.permit_late_calls();
                     proxy.set(Mode::Pass);
                 }
             }
@@ -150,46 +155,49 @@
         Ok(())
     }
 
-    async fn harm(&mut self) -> std::io::Result<()> {
+    async fn inject(&mut self) -> std::io::Result<()> {
         let count = self.site.nodes.len();
         let at = self.rng.random_range(0..count);
         let ms = self.rng.random_range(200..3000);
-        let what = match self.rng.random_range(0..KINDS) {
+        let what = match self.rng.random_range(0..FAULT_KINDS) {
             0 => {
                 self.site.kill(at);
-                self.later(ms / 2, Cure::Start(at));
+                self.schedule(ms / 2, Repair::Start(at));
                 "kill"
             }
             1 => {
                 self.site.signal(at, Signal::SIGTERM);
-                self.later(GRACE.as_millis() as u64, Cure::Kill(at));
+                self.schedule(
+                    TERM_GRACE_PERIOD.as_millis() as u64,
+                    Repair::Kill(at),
+                );
                 "term"
             }
             2 => {
                 self.site.signal(at, Signal::SIGSTOP);
-                self.later(ms, Cure::Thaw(at));
+                self.schedule(ms, Repair::Thaw(at));
                 "freeze"
             }
             3 => {
                 self.site.signal(at, Signal::SIGHUP);
                 "hup"
             }
-            4 if self.may_lose_a_disk() => {
+            4 if self.can_lose_disk() => {
                 let at = at % DISKS;
                 self.disk_lost_at = Some(Instant::now());
                 self.site.wipe(at)?;
-                self.later(ms / 2, Cure::Start(at));
+                self.schedule(ms / 2, Repair::Start(at));
                 "wipe"
             }
-            5 if self.may_lose_a_disk() => {
-                self.take_disk(at % DISKS)?;
-                self.later(ms, Cure::GiveDiskBack(at % DISKS));
+            5 if self.can_lose_disk() => {
+                self.break_disk(at % DISKS)?;
+                self.schedule(ms, Repair::RestoreDisk(at % DISKS));
                 "no disk"
             }
             6 if self.rng.random_bool(0.3) => {
                 for at in 0..count {
                     self.site.kill(at);
-                    self.later(ms / 4, Cure::Start(at));
+                    self.schedule(ms / 4, Repair::Start(at));
                 }
                 "kill all"
             }
@@ -199,16 +207,16 @@
             }
             8 => {
                 let front = self.shared.fronts()[at].clone();
-                self.harm_link(front, ms)
+                self.inject_link_fault(front, ms)
             }
             9 => {
                 let at = self.rng.random_range(0..self.replicas.len());
                 let link = self.replicas[at].proxy.clone();
-                self.harm_link(link, ms)
+                self.inject_link_fault(link, ms)
             }
             10 => {
                 let cloud = self.cloud.clone();
-                self.harm_link(cloud, ms)
+                self.inject_link_fault(cloud, ms)
             }
             11 => {
                 let at = self.rng.random_range(0..self.replicas.len());
@@ -222,49 +230,53 @@
             }
             _ => return Ok(()),
         };
-        self.played.push(what);
+        self.injected.push(what);
         Ok(())
     }
 
-    /// Replicas that start again under their ids, writers that are none, and
-    /// a lost disk while all other nodes are killed.
-    async fn harm_besides(&mut self) -> std::io::Result<()> {
-        let what = match self.besides.random_range(0..5) {
+    /// Injects an extra fault: a replica that restarts under its id, a
+    /// malformed heartbeat, or a lost disk while all other nodes are killed.
+    async fn inject_extra(&mut self) -> std::io::Result<()> {
+        let what = match self.extra_rng.random_range(0..5) {
             0 | 1 => {
-                let at = self.besides.random_range(0..self.replicas.len());
+                let at = self.extra_rng.random_range(0..self.replicas.len());
                 let shared = self.shared.clone();
-                self.replicas[at].start_again(shared).await?;
+                self.replicas[at].restart(shared).await?;
                 "replica starts again"
             }
             2 | 3 => {
-                speak_nonsense(&self.shared, &mut self.besides).await;
+                send_malformed_heartbeat(&self.shared, &mut self.extra_rng)
+                    .await;
                 "nonsense"
             }
-            _ if self.may_lose_a_disk() => {
-                let lost = self.besides.random_range(0..DISKS);
+            _ if self.can_lose_disk() => {
+                let lost = self.extra_rng.random_range(0..DISKS);
                 self.disk_lost_at = Some(Instant::now());
                 for at in 0..self.site.nodes.len() {
                     self.site.kill(at);
-                    self.later(200, Cure::Start(at));
+                    self.schedule(200, Repair::Start(at));
                 }
                 self.site.wipe(lost)?;
                 "disk lost, all killed"
             }
             _ => return Ok(()),
         };
-        self.played.push(what);
+        self.injected.push(what);
         Ok(())
     }
 
-    /// One disk at a time, and not before the one before has caught up.
-    fn may_lose_a_disk(&self) -> bool {
-        self.disk_lost_at.is_none_or(|at| at.elapsed() > SYNC)
+    /// Returns true if a disk may be lost: all nodes with a disk are up and
+    /// not suspended, and the previous loss is long enough ago for its node
+    /// to have caught up.
+    fn can_lose_disk(&self) -> bool {
+        self.disk_lost_at
+            .is_none_or(|at| at.elapsed() > MIN_DISK_LOSS_INTERVAL)
             && (0..DISKS).all(|at| {
                 self.site.is_up(at) && !self.site.nodes[at].is_frozen
             })
     }
 
-    fn take_disk(&mut self, at: usize) -> std::io::Result<()> {
+    fn break_disk(&mut self, at: usize) -> std::io::Result<()> {
         self.disk_lost_at = Some(Instant::now());
         self.site.kill(at);
         let disk = self.site.disk(at);
@@ -273,7 +285,7 @@
         self.site.start(at, false)
     }
 
-    fn harm_link(&mut self, link: Proxy, ms: u64) -> &'static str {
+    fn inject_link_fault(&mut self, link: Proxy, ms: u64) -> &'static str {
         let (what, mode) = match self.rng.random_range(0..4) {
             0 => {
                 link.reset();
@@ -284,11 +296,11 @@
             _ => ("no answers", Mode::NoAnswers),
         };
         link.set(mode);
-        self.later(ms, Cure::Heal(link));
+        self.schedule(ms, Repair::Heal(link));
         what
     }
 
-    /// The same place, another incarnation.
+    /// Crashes a replica and starts one with a new id in its place.
     async fn replace(&mut self, at: usize) -> std::io::Result<()> {
         self.replicas[at].crash();
         let number = self.next_replica;
@@ -298,7 +310,7 @@
         Ok(())
     }
 
-    /// Replaces the replicas that a request has ended.
+    /// Replaces the replicas that have stopped.
     async fn replace_ended(&mut self) -> std::io::Result<()> {
         for at in 0..self.replicas.len() {
             if self.replicas[at].has_ended() {
@@ -308,7 +320,7 @@
         Ok(())
     }
 
-    /// Replaces the replicas that have left, so that some are there.
+    /// Replaces all replicas by new ones, so that none is leaving.
     pub async fn refill(&mut self) -> std::io::Result<()> {
         for at in 0..self.replicas.len() {
             self.replace(at).await?;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,6 +1,6 @@
-//! A soak: node programs as processes of their own between stand-ins for
-//! callers, replicas, operators and the platform's API, with faults from a
-//! seed. See docs/SOAK.md.
+//! The soak test. Runs node programs as separate processes between stand-ins
+//! for callers, replicas, operators and the platform's API, and injects faults
+//! that a seed determines. See docs/SOAK.md.
 
 mod caller;
 mod cloud;
@@ -42,70 +42,72 @@
     site::{PORTS, Site},
 };
 
-/// The only service, team and key.
+/// The only service, team and API key of a run.
 const SERVICE: &str = "app";
 const TEAM: &str = "blue";
 const KEY: &str = "sesame";
-/// Replicas and callers of a run.
+/// Numbers of replicas and callers in a run.
 const REPLICAS: u64 = 4;
 const CALLERS: u64 = 16;
-/// How long a run may take to begin, and to be whole again at its end. Long
-/// beyond what it takes: a busy machine must not fail a run.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// Seeds that failed once, with the cause.
-const REGRESSIONS: &str = include_str!("../regressions.txt");
+/// Time within which all nodes have to serve, at the start of a run and again
+/// after the last fault. Far longer than needed, so that a busy machine does
+/// not fail a run.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Seeds that failed in the past, with the cause.
+const REGRESSION_SEEDS: &str = include_str!("../regressions.txt");
 
-/// Runs node programs under faults and checks what they promise.
+/// Runs node programs under faults and checks their guarantees.
 #[derive(FromArgs)]
 struct Arguments {
     /// the first seed (1)
     #[argh(option, default = "1")]
     seed: u64,
-    /// how many seeds (1)
+    /// number of seeds (1)
     #[argh(option, default = "1")]
     seeds: u64,
-    /// play the seeds that failed once instead
+    /// run the seeds that failed in the past instead
     #[argh(switch)]
     regressions: bool,
-    /// for how long faults are injected in each run (15)
+    /// time for which each run injects faults, in seconds (15)
     #[argh(option, default = "15")]
     seconds: u64,
-    /// how many nodes (6)
+    /// number of nodes (6)
     #[argh(option, default = "6")]
     nodes: usize,
-    /// the node program (azuremount-node beside this one)
+    /// path of the node program (azuremount-node in this program's folder)
     #[argh(option)]
     program: Option<PathBuf>,
-    /// keeps settings, disks and logs of seeds that fail here (a folder in
-    /// the system's temporary one)
+    /// folder for settings, disks and logs, which are kept for seeds that fail
+    /// (the system's temporary folder)
     #[argh(option)]
     folder: Option<PathBuf>,
 }
 
-/// What all parts of one run share.
+/// State that all parts of one run share.
 #[derive(Debug)]
 pub struct Shared {
-    /// All choices follow from it.
+    /// Seed of the random choices.
     pub seed: u64,
-    /// What was seen.
+    /// What the stand-ins observed.
     pub ledger: Ledger,
     ips: Vec<Ipv4Addr>,
     fronts: OnceLock<Vec<Proxy>>,
-    /// What replicas name.
+    /// Rate limits that replicas announce.
     limits: limit::Limits,
     running: AtomicBool,
-    judged: AtomicBool,
+    final_check: AtomicBool,
 }
 
 impl Shared {
-    /// True until faults and callers stop.
+    /// Returns true until faults and callers stop.
     pub fn is_running(&self) -> bool {
         self.running.load(Ordering::Relaxed)
     }
 
-    /// True once the last fault is over, and replicas name no other limits.
-    pub fn is_judged(&self) -> bool {
-        self.judged.load(Ordering::Relaxed)
+    /// Returns true once the last fault is over and rate limits no longer
+    /// vary.
+    pub fn is_final_check(&self) -> bool {
+        self.final_check.load(Ordering::Relaxed)
     }
 
     fn any(&self, port: u16) -> SocketAddrV4 {
@@ -113,22 +115,22 @@
         SocketAddrV4::new(*ip.expect("there are nodes"), port)
     }
 
-    /// Where operators and replicas call some node.
+    /// Returns the address for operators and replicas at a random node.
     pub fn any_control(&self) -> SocketAddrV4 {
         self.any(PORTS.control)
     }
 
-    /// Where callers ask some node for entries.
+    /// Returns the address at a random node where callers look up entries.
     pub fn any_directory(&self) -> SocketAddrV4 {
         self.any(PORTS.directory)
     }
 
-    /// The proxies before the nodes' entries.
+    /// Returns the proxies in front of the nodes' entries.
     pub fn fronts(&self) -> &[Proxy] {
         self.fronts.get().map_or(&[], Vec::as_slice)
     }
 
-    /// The proxy before an entry.
+    /// Returns the address of the proxy in front of an entry.
     pub fn through_proxy(&self, entry: SocketAddrV4) -> SocketAddrV4 {
         let at = self.ips.iter().position(|ip| ip == entry.ip());
         let proxy = at.and_then(|at| self.fronts().get(at));
@@ -173,7 +175,7 @@
         let first = arguments.seed;
         return (first..first + arguments.seeds).collect();
     }
-    let lines = REGRESSIONS.lines().filter(|line| !line.starts_with('#'));
+    let lines = REGRESSION_SEEDS.lines().filter(|line| !line.starts_with('#'));
     let seeds = lines.filter_map(|line| line.split_whitespace().next());
     seeds.filter_map(|seed| seed.parse().ok()).collect()
 }
@@ -189,7 +191,8 @@
         Some(program) => program.clone(),
         None => std::env::current_exe()?.with_file_name("azuremount-node"),
     };
-    // Another net for each seed: connections of the last run linger.
+    // Each seed uses another network, because connections of the previous run
+    // linger.
     let net = 100 + (seed % 100) as u8;
     let api = SocketAddrV4::new(Ipv4Addr::new(127, net, 250, 1), 8225);
     let cloud = Proxy::spawn(api).await?;
@@ -202,10 +205,10 @@
         fronts: OnceLock::new(),
         limits: limit::Limits::default(),
         running: AtomicBool::new(true),
-        judged: AtomicBool::new(false),
+        final_check: AtomicBool::new(false),
     });
     cloud::spawn(api, shared.clone()).await?;
-    let row = play(arguments, shared.clone(), site, cloud).await?;
+    let row = run_site(arguments, shared.clone(), site, cloud).await?;
     if row.breaches == 0 {
         std::fs::remove_dir_all(&folder)?;
     } else {
@@ -214,7 +217,7 @@
     Ok(row)
 }
 
-async fn play(
+async fn run_site(
     arguments: &Arguments,
     shared: Arc<Shared>,
     mut site: Site,
@@ -233,7 +236,7 @@
     for number in 0..REPLICAS {
         replicas.push(Replica::spawn(shared.clone(), number).await?);
     }
-    begin(&shared).await;
+    apply_first_config(&shared).await;
     let mut tasks = Vec::new();
     for number in 1..=CALLERS {
         tasks.push(tokio::spawn(Caller::new(shared.clone(), number).run()));
@@ -243,70 +246,77 @@
     }
     tasks.push(tokio::spawn(operator::read(shared.clone())));
     tasks.push(tokio::spawn(fatal::repeat(shared.clone())));
-    tasks.push(tokio::spawn(limit::vary(shared.clone())));
+    tasks.push(tokio::spawn(limit::vary_rate_limits(shared.clone())));
     let mut faults = Faults::new(shared.clone(), site, replicas, cloud);
     let until = Instant::now() + Duration::from_secs(arguments.seconds);
-    faults.play(until).await?;
+    faults.inject_until(until).await?;
     faults.refill().await?;
-    // Callers go on while the nodes come back.
+    // Callers keep sending requests while the nodes recover.
     recover(&shared, &mut faults).await;
-    fatal::judge(&shared, &mut faults).await?;
-    shared.judged.store(true, Ordering::Relaxed);
-    limit::judge(&shared).await;
+    fatal::check_quarantine(&shared, &mut faults).await?;
+    shared.final_check.store(true, Ordering::Relaxed);
+    limit::check_compliance(&shared).await;
     shared.running.store(false, Ordering::Relaxed);
     for task in tasks {
         if let Err(error) = task.await {
-            shared.ledger.breach(format!("a stand-in ended: {error}"));
+            shared
+                .ledger
+                .record_breach(format!("a stand-in task failed: {error}"));
         }
     }
     let breaches = shared.ledger.close().len();
-    let (counts, p50_ms, p99_ms) = shared.ledger.sums();
+    let (counts, p50_ms, p99_ms) = shared.ledger.summary();
     Ok(Row {
         seed: shared.seed,
-        faults: faults.played.len(),
+        faults: faults.injected.len(),
         served: counts.served,
         refused: counts.refused,
         failed: counts.failed,
-        ended: shared.ledger.ends(),
+        ended: shared.ledger.fatal_crashes(),
         p50_ms,
         p99_ms,
         breaches,
     })
 }
 
-/// Puts the first configuration and waits until all nodes serve.
-async fn begin(shared: &Arc<Shared>) {
-    let until = Instant::now() + PATIENCE;
+/// Applies the first configuration and waits until all nodes serve.
+async fn apply_first_config(shared: &Arc<Shared>) {
+    let until = Instant::now() + CONVERGENCE_TIMEOUT;
     while !operator::put(shared, 2).await {
         if Instant::now() > until {
-            shared.ledger.breach("the first configuration".to_owned());
+            shared.ledger.record_breach(
+                "the first configuration was not acknowledged within 60 s"
+                    .to_owned(),
+            );
             return;
         }
     }
-    while !all_whole(shared).await && Instant::now() < until {
+    while !all_nodes_serve(shared).await && Instant::now() < until {
         sleep(Duration::from_millis(100)).await;
     }
 }
 
-/// Waits until all nodes serve by the newest configuration.
+/// Applies a last configuration and waits until all nodes serve with it.
 async fn recover(shared: &Arc<Shared>, faults: &mut Faults) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + CONVERGENCE_TIMEOUT;
     let last = (shared.ledger.newest_sent() / 2 + 1) * 2;
     while !operator::put(shared, last).await && Instant::now() < until {}
-    while !all_whole(shared).await {
-        faults.look();
+    while !all_nodes_serve(shared).await {
+        faults.schedule_restarts();
         if Instant::now() > until {
-            shared.ledger.breach("not whole again in a minute".to_owned());
+            shared.ledger.record_breach(
+                "not all nodes served again within 60 s".to_owned(),
+            );
             return;
         }
         sleep(Duration::from_millis(100)).await;
     }
 }
 
-/// True when every node is ready, reads the newest configuration, and serves
-/// the route that only that one has.
-async fn all_whole(shared: &Arc<Shared>) -> bool {
-    let newest = shared.ledger.newest(Duration::ZERO);
+/// Returns true when every node is ready and returns the newest acknowledged
+/// configuration.
+async fn all_nodes_serve(shared: &Arc<Shared>) -> bool {
+    let newest = shared.ledger.newest_acknowledged(Duration::ZERO);
     for ip in &shared.ips {
         let at = |port| SocketAddrV4::new(*ip, port);
         let ready = call(at(PORTS.ready), Method::GET, wire::READY, None);
@@ -316,7 +326,7 @@
         if !ready || !status.is_success() {
             return false;
         }
-        if !operator::judge(shared, newest, &answer) {
+        if !operator::check_config(shared, newest, &answer) {
             return false;
         }
     }
--- a/soak/src/promise.rs
+++ b/soak/src/promise.rs
@@ -1,5 +1,5 @@
-//! What the nodes promise, checked by what callers, replicas and the
-//! platform's API see.
+//! The guarantees of the nodes, checked against what callers, replicas and the
+//! platform's API observe.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,11 +10,11 @@
 use hdrhistogram::Histogram;
 use serde_json::Value;
 
-/// For so long two holders of a duty may not take turns.
-const LEASE: Duration = Duration::from_millis(3000);
-/// After a thaw or a healed link, calls may still arrive that were sent
-/// before.
-const SLACK: Duration = Duration::from_millis(500);
+/// Lease of a duty. Within it, two holders must not alternate.
+const LEASE_DURATION: Duration = Duration::from_millis(3000);
+/// Time after a thaw or a healed link in which calls that were sent before may
+/// still arrive.
+const LATE_CALL_GRACE: Duration = Duration::from_millis(500);
 
 /// The kinds of request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,16 +25,16 @@
     Once,
     /// A stream that may run once.
     Stream,
-    /// A stream that may go on elsewhere.
+    /// A stream that another replica may resume.
     Resume,
 }
 
 impl Kind {
-    /// All of them.
+    /// All kinds.
     pub const ALL: [Kind; 4] =
         [Kind::Again, Kind::Once, Kind::Stream, Kind::Resume];
 
-    /// The first part of its path.
+    /// Returns the prefix of the request's path.
     pub fn prefix(self) -> &'static str {
         match self {
             Kind::Again => "/again/",
@@ -44,7 +44,7 @@
         }
     }
 
-    /// True when two runs are a breach.
+    /// Returns true if a second run is a breach.
     pub fn runs_once(self) -> bool {
         matches!(self, Kind::Once | Kind::Stream)
     }
@@ -61,33 +61,33 @@
 #[derive(Debug, Default)]
 struct State {
     breaches: Vec<String>,
-    /// Runs of requests that may run once.
+    /// Number of runs of each request that may run once.
     runs: BTreeMap<String, u32>,
-    /// Requests that were said not to have run.
+    /// Requests whose callers were told that they did not run.
     not_run: BTreeSet<String>,
-    /// Accepted calls for each duty and subject.
+    /// Accepted calls by duty and subject.
     calls: BTreeMap<String, Vec<Call>>,
     excused_until: Option<Instant>,
-    /// Replicas that the fatal request has ended.
-    ends: u32,
+    /// Number of replicas that the fatal request has crashed.
+    fatal_crashes: u32,
     counts: Counts,
-    /// Configurations: sent, and when acknowledged.
+    /// Newest configuration version sent, and when each was acknowledged.
     sent: u64,
     acknowledged: Vec<(u64, Instant)>,
 }
 
-/// How requests ended.
+/// Numbers of requests by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    /// With a whole answer of a replica.
+    /// Requests with a complete answer of a replica.
     pub served: u64,
-    /// With word that they did not run.
+    /// Requests whose callers were told that they did not run.
     pub refused: u64,
-    /// Otherwise.
+    /// All other requests.
     pub failed: u64,
 }
 
-/// Everything seen in one run.
+/// Everything observed in one run.
 #[derive(Debug)]
 pub struct Ledger {
     state: Mutex<State>,
@@ -95,7 +95,7 @@
 }
 
 impl Ledger {
-    /// Starts with nothing seen.
+    /// Creates an empty ledger.
     pub fn open() -> Ledger {
         let latency = Histogram::new_with_max(60_000, 2);
         let latency = latency.expect("the bounds are constants");
@@ -106,14 +106,14 @@
         self.state.lock().unwrap_or_else(|held| held.into_inner())
     }
 
-    /// Notes a promise that was not kept.
-    pub fn breach(&self, text: String) {
+    /// Records and prints the breach of a guarantee.
+    pub fn record_breach(&self, text: String) {
         eprintln!("BREACH {text}");
         self.state().breaches.push(text);
     }
 
-    /// A replica begins to run a request.
-    pub fn ran(&self, kind: Kind, id: &str) {
+    /// Records that a replica starts to run a request.
+    pub fn record_run(&self, kind: Kind, id: &str) {
         if !kind.runs_once() {
             return;
         }
@@ -124,30 +124,30 @@
             .and_modify(|runs| *runs += 1)
             .or_insert(1);
         if runs > 1 {
-            self.breach(format!("{kind:?} {id} ran {runs} times"));
+            self.record_breach(format!("{kind:?} {id} ran {runs} times"));
         }
     }
 
-    /// A replica ends, as it has to run the fatal request.
-    pub fn ends_under_fatal(&self) {
-        self.state().ends += 1;
+    /// Records that the fatal request crashes a replica.
+    pub fn record_fatal_crash(&self) {
+        self.state().fatal_crashes += 1;
     }
 
-    /// Replicas that have ended so.
-    pub fn ends(&self) -> u32 {
-        self.state().ends
+    /// Returns the number of replicas that the fatal request has crashed.
+    pub fn fatal_crashes(&self) -> u32 {
+        self.state().fatal_crashes
     }
 
-    /// A caller has its answer.
-    pub fn served(&self, took: Duration) {
+    /// Records that a caller received its answer after `took`.
+    pub fn record_served(&self, took: Duration) {
         self.state().counts.served += 1;
         let mut latency =
             self.latency.lock().unwrap_or_else(|held| held.into_inner());
         latency.saturating_record(took.as_millis() as u64);
     }
 
-    /// A caller was told that its request did not run.
-    pub fn refused(&self, kind: Kind, id: &str) {
+    /// Records that a caller was told that its request did not run.
+    pub fn record_refused(&self, kind: Kind, id: &str) {
         let mut state = self.state();
         state.counts.refused += 1;
         if kind.runs_once() {
@@ -155,19 +155,19 @@
         }
     }
 
-    /// A caller has no answer.
-    pub fn failed(&self) {
+    /// Records that a caller received no answer.
+    pub fn record_failed(&self) {
         self.state().counts.failed += 1;
     }
 
-    /// Calls may come late for a moment: a link has healed, or a process was
-    /// thawed.
-    pub fn excuse(&self) {
-        self.state().excused_until = Some(Instant::now() + SLACK);
+    /// Permits late calls for a short time, because a link has healed or a
+    /// process was thawed.
+    pub fn permit_late_calls(&self) {
+        self.state().excused_until = Some(Instant::now() + LATE_CALL_GRACE);
     }
 
-    /// The platform's API takes a call.
-    pub fn duty(
+    /// Checks and records a call that the platform's API accepts.
+    pub fn check_duty_call(
         &self,
         subject: &str,
         holder: &str,
@@ -181,70 +181,77 @@
         let mut wrong = Vec::new();
         for call in calls.iter() {
             if call.fence == fence && call.holder != holder {
-                wrong.push(format!("{} has fence {fence} too", call.holder));
+                wrong.push(format!(
+                    "{} also holds fencing token {fence}",
+                    call.holder
+                ));
             }
             if call.fence > fence && !excused {
-                wrong.push(format!("fence {fence} after {}", call.fence));
+                wrong.push(format!(
+                    "fencing token {fence} after {}",
+                    call.fence
+                ));
             }
             if content != Value::Null && call.content != content {
                 wrong.push(format!("{content} after {}", call.content));
             }
         }
-        let since = calls.iter().filter(|call| at < call.at + LEASE);
+        let since = calls.iter().filter(|call| at < call.at + LEASE_DURATION);
         let mut others = since.skip_while(|call| call.holder != holder);
         if others.any(|call| call.holder != holder) && !excused {
-            wrong.push("holders take turns within a lease".to_owned());
+            wrong.push("holders alternate within a lease".to_owned());
         }
         calls.push(Call { holder: holder.to_owned(), fence, at, content });
         drop(state);
         wrong.dedup();
         for wrong in wrong {
-            self.breach(format!("{subject}, {holder}: {wrong}"));
+            self.record_breach(format!("{subject}, {holder}: {wrong}"));
         }
     }
 
-    /// An operator sends a configuration.
-    pub fn sends(&self, version: u64) {
+    /// Records that an operator sends a configuration.
+    pub fn record_sent(&self, version: u64) {
         let mut state = self.state();
         state.sent = state.sent.max(version);
     }
 
-    /// It was acknowledged.
-    pub fn acknowledged(&self, version: u64) {
+    /// Records that a configuration was acknowledged.
+    pub fn record_acknowledged(&self, version: u64) {
         self.state().acknowledged.push((version, Instant::now()));
     }
 
-    /// The newest version that was acknowledged before `limit` ago.
-    pub fn newest(&self, limit: Duration) -> u64 {
+    /// Returns the newest version acknowledged at least `limit` ago, or 0.
+    pub fn newest_acknowledged(&self, limit: Duration) -> u64 {
         let state = self.state();
         let old =
             state.acknowledged.iter().filter(|(_, at)| at.elapsed() >= limit);
         old.map(|(version, _)| *version).max().unwrap_or(0)
     }
 
-    /// The newest version that was sent.
+    /// Returns the newest version that was sent.
     pub fn newest_sent(&self) -> u64 {
         self.state().sent
     }
 
-    /// Looks at what can only be judged at the end; gives all breaches.
+    /// Runs the checks that need the whole run. Returns all breaches.
     pub fn close(&self) -> Vec<String> {
         let state = self.state();
-        let lies: Vec<String> = state
+        let contradictions: Vec<String> = state
             .not_run
             .iter()
             .filter(|id| state.runs.contains_key(*id))
-            .map(|id| format!("{id} was said not to have run, and ran"))
+            .map(|id| format!("{id} ran although it was reported as not run"))
             .collect();
         drop(state);
-        for lie in lies {
-            self.breach(lie);
+        for contradiction in contradictions {
+            self.record_breach(contradiction);
         }
         self.state().breaches.clone()
     }
 
-    /// How requests ended, and the median and 99th percentile in ms.
-    pub fn sums(&self) -> (Counts, u64, u64) {
+    /// Returns the numbers of requests by outcome, and the median and 99th
+    /// percentile of the latency in ms.
+    pub fn summary(&self) -> (Counts, u64, u64) {
         let latency =
             self.latency.lock().unwrap_or_else(|held| held.into_inner());
         let at = |part| latency.value_at_quantile(part);
--- a/soak/src/replica.rs
+++ b/soak/src/replica.rs
@@ -1,4 +1,4 @@
-//! Replicas: they announce themselves, run requests, and fail at times.
+//! Stand-in replicas, which send heartbeats, run requests and sometimes fail.
 
 use std::{
     future::pending,
@@ -30,37 +30,38 @@
     proxy::Proxy,
 };
 
-/// Events of a stream.
-pub const EVENTS: u64 = 12;
-/// Between two heartbeats.
-const HEARTBEAT: Duration = Duration::from_millis(1200);
-/// How long one goes on serving after it has said that it leaves.
-const DRAIN: Duration = Duration::from_millis(2500);
-/// The parts of requests that are turned away, run without an answer, and
-/// broken off.
-const TURNED_AWAY: f64 = 0.03;
-const LOST: f64 = 0.02;
-const BROKEN: f64 = 0.03;
+/// Number of events in a stream.
+pub const STREAM_EVENTS: u64 = 12;
+/// Interval between two heartbeats of a replica.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1200);
+/// Time for which a replica keeps serving after it has announced its
+/// departure.
+const DRAIN_DURATION: Duration = Duration::from_millis(2500);
+/// Shares of requests that a replica rejects, runs without answering, and
+/// breaks off during the stream.
+const REJECTED_SHARE: f64 = 0.03;
+const LOST_ANSWER_SHARE: f64 = 0.02;
+const BROKEN_STREAM_SHARE: f64 = 0.03;
 
-/// The body that a request is answered with.
+/// Returns the body of the answer to a request.
 pub fn body(id: &str) -> String {
     format!("{id}-").repeat(40)
 }
 
-/// The seal of its answer.
+/// Returns the seal of the answer to a request.
 pub fn seal(id: &str) -> String {
     format!("seal-{id}")
 }
 
-/// The data of an event.
+/// Returns the text of one event of a stream.
 pub fn event(id: &str, number: u64) -> String {
     format!("id: {number}\ndata: {id} {number}\n\n")
 }
 
-/// One life of a replica.
+/// One incarnation of a replica.
 #[derive(Debug)]
 pub struct Replica {
-    /// Between it and the nodes.
+    /// The proxy between the replica and the nodes.
     pub proxy: Proxy,
     number: u64,
     born: u64,
@@ -69,7 +70,7 @@
 }
 
 impl Replica {
-    /// Starts with an id, made of `number`, and an address of its own.
+    /// Starts a replica whose id is made of `number`, on its own address.
     pub async fn spawn(
         shared: Arc<Shared>,
         number: u64,
@@ -95,9 +96,10 @@
         };
         let leaving = Arc::new(Mutex::new(false));
         let born = now_ms();
-        let life = Life { id, born, address: proxy.address };
-        let beats = beat(shared, life, leaving.clone());
-        let mut tasks = vec![serve(listener, handler), tokio::spawn(beats)];
+        let incarnation = Incarnation { id, born, address: proxy.address };
+        let heartbeats = send_heartbeats(shared, incarnation, leaving.clone());
+        let mut tasks =
+            vec![serve(listener, handler), tokio::spawn(heartbeats)];
         let others: Vec<AbortHandle> =
             tasks.iter().map(JoinHandle::abort_handle).collect();
         let link = proxy.clone();
@@ -111,14 +113,14 @@
         Ok(Replica { proxy, number, born, tasks, leaving })
     }
 
-    /// Crashes and starts again under its id, while a last word of the life
-    /// before is still on its way.
-    pub async fn start_again(
+    /// Crashes the replica and starts it again under the same id, while late
+    /// heartbeats of the former incarnation still arrive.
+    pub async fn restart(
         &mut self,
         shared: Arc<Shared>,
     ) -> std::io::Result<()> {
         self.crash();
-        let former = Life {
+        let former = Incarnation {
             id: format!("i-{}", self.number),
             born: self.born,
             address: self.proxy.address,
@@ -127,13 +129,14 @@
         tokio::spawn(async move {
             for pause in [300, 900, 2000] {
                 sleep(Duration::from_millis(pause)).await;
-                say(&shared, &former, Some("draining"), 1_000_000).await;
+                send_heartbeat(&shared, &former, Some("draining"), 1_000_000)
+                    .await;
             }
         });
         Ok(())
     }
 
-    /// Ends without a word.
+    /// Stops the replica without notice.
     pub fn crash(&self) {
         for task in &self.tasks {
             task.abort();
@@ -141,12 +144,12 @@
         self.proxy.close();
     }
 
-    /// True where it serves nobody any more.
+    /// Returns true when the replica no longer serves requests.
     pub fn has_ended(&self) -> bool {
         self.tasks[0].is_finished()
     }
 
-    /// Says that it leaves, goes on for a while, and ends.
+    /// Makes the replica announce its departure, drain and stop.
     pub fn leave(&self) {
         *lock(&self.leaving) = true;
     }
@@ -167,50 +170,56 @@
     since.map_or(1, |time| time.as_millis() as u64)
 }
 
-/// As which life a replica speaks.
-struct Life {
+/// The incarnation on whose behalf a heartbeat is sent.
+struct Incarnation {
     id: String,
     born: u64,
     address: SocketAddrV4,
 }
 
-async fn beat(shared: Arc<Shared>, life: Life, leaving: Arc<Mutex<bool>>) {
+async fn send_heartbeats(
+    shared: Arc<Shared>,
+    incarnation: Incarnation,
+    leaving: Arc<Mutex<bool>>,
+) {
     let mut sequence = 0;
     loop {
         sequence += 1;
         let leaves = *lock(&leaving);
         let state = if leaves { "draining" } else { "ready" };
-        say(&shared, &life, Some(state), sequence).await;
+        send_heartbeat(&shared, &incarnation, Some(state), sequence).await;
         if leaves {
-            sleep(DRAIN).await;
-            say(&shared, &life, None, sequence).await;
+            sleep(DRAIN_DURATION).await;
+            send_heartbeat(&shared, &incarnation, None, sequence).await;
             return;
         }
-        sleep(HEARTBEAT).await;
+        sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
-/// Tells one node after the other until one has acknowledged it.
-async fn say(
+/// Sends a heartbeat to random nodes until one acknowledges it, at most four
+/// times.
+async fn send_heartbeat(
     shared: &Shared,
-    life: &Life,
+    incarnation: &Incarnation,
     state: Option<&str>,
     sequence: u64,
 ) {
-    let Life { id, born, address } = life;
+    let Incarnation { id, born, address } = incarnation;
     let (path, body) =
         wire::heartbeat(id, *born, SERVICE, *address, state, sequence);
     for _ in 0..4 {
         let node = shared.any_control();
-        let said = call(node, Method::POST, &path, Some(&body)).await;
-        if said.is_ok_and(|(status, _)| status.is_success()) {
+        let answer = call(node, Method::POST, &path, Some(&body)).await;
+        if answer.is_ok_and(|(status, _)| status.is_success()) {
             return;
         }
     }
 }
 
-/// Something that is no replica says something like a heartbeat.
-pub async fn speak_nonsense(shared: &Shared, rng: &mut StdRng) {
+/// Sends a heartbeat with a field of the wrong type, as from a foreign writer.
+/// No node may acknowledge it.
+pub async fn send_malformed_heartbeat(shared: &Shared, rng: &mut StdRng) {
     let here = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 9);
     let (path, mut body) =
         wire::heartbeat("i-nobody", now_ms(), SERVICE, here, Some("ready"), 1);
@@ -218,9 +227,11 @@
     let field = fields[rng.random_range(0..fields.len())];
     body[field] = json!(["another writer"]);
     let node = shared.any_control();
-    let said = call(node, Method::POST, &path, Some(&body)).await;
-    if said.is_ok_and(|(status, _)| status.is_success()) {
-        shared.ledger.breach(format!("a spoilt {field} was acknowledged"));
+    let answer = call(node, Method::POST, &path, Some(&body)).await;
+    if answer.is_ok_and(|(status, _)| status.is_success()) {
+        shared.ledger.record_breach(format!(
+            "a heartbeat with a malformed {field} was acknowledged"
+        ));
     }
 }
 
@@ -238,12 +249,12 @@
         lock(&self.rng).random_bool(part)
     }
 
-    /// Runs a request, and names the limit in its answer if there is one.
+    /// Runs a request. Announces the rate limit, if any, in the answer.
     async fn answer(
         &self,
         request: Request<Incoming>,
     ) -> Result<Response<Body>, Failed> {
-        let per_s = self.limit.arrive();
+        let per_s = self.limit.record_arrival();
         let mut response = self.run(request).await?;
         if let Some(per_s) = per_s {
             let value = HeaderValue::from_str(&format!("{per_s:.2}"))?;
@@ -262,7 +273,7 @@
         };
         let id = text(wire::REQUEST_ID).unwrap_or_default();
         let ledger = &self.shared.ledger;
-        let turn_away = |status| {
+        let reject = |status| {
             Response::builder()
                 .status(status)
                 .header(wire::REQUEST_ID, &id)
@@ -270,29 +281,31 @@
                 .body(full(""))
         };
         if text(wire::REPLICA).as_deref() != Some(&self.id) {
-            return Ok(turn_away(StatusCode::MISDIRECTED_REQUEST)?);
+            return Ok(reject(StatusCode::MISDIRECTED_REQUEST)?);
         }
-        if self.happens(TURNED_AWAY) {
-            return Ok(turn_away(StatusCode::SERVICE_UNAVAILABLE)?);
+        if self.happens(REJECTED_SHARE) {
+            return Ok(reject(StatusCode::SERVICE_UNAVAILABLE)?);
         }
         if text("authorization").is_some() {
-            ledger.breach(format!("{id}: a key was passed on"));
+            ledger.record_breach(format!(
+                "{id}: the API key was forwarded to a replica"
+            ));
         }
         if text(wire::TEAM).as_deref() != Some(TEAM) {
-            ledger.breach(format!("{id}: counted for another team"));
+            ledger.record_breach(format!("{id}: attributed to another team"));
         }
         let path = request.uri().path();
         if path == fatal::PATH {
-            ledger.ends_under_fatal();
+            ledger.record_fatal_crash();
             self.end.notify_one();
-            // Until its connection is gone.
+            // Waits until the connection is closed.
             return pending().await;
         }
         let kind = Kind::ALL.iter().find(|one| path.starts_with(one.prefix()));
         let kind = kind.copied().unwrap_or(Kind::Again);
-        ledger.ran(kind, &id);
-        if self.happens(LOST) {
-            return Err(Failed("the answer is lost".to_owned()));
+        ledger.record_run(kind, &id);
+        if self.happens(LOST_ANSWER_SHARE) {
+            return Err(Failed("answer dropped on purpose".to_owned()));
         }
         let answer = Response::builder()
             .header(wire::REQUEST_ID, &id)
@@ -304,26 +317,27 @@
         }
         let last = text(wire::LAST_EVENT).and_then(|one| one.parse().ok());
         let from = last.unwrap_or(0) + 1;
-        let until = match self.happens(BROKEN) {
-            true => lock(&self.rng).random_range(from..=EVENTS),
-            false => EVENTS + 1,
+        let until = match self.happens(BROKEN_STREAM_SHARE) {
+            true => lock(&self.rng).random_range(from..=STREAM_EVENTS),
+            false => STREAM_EVENTS + 1,
         };
         Ok(answer.body(events(id.clone(), from, until))?)
     }
 }
 
-/// Events from `from` on; broken off before `until`.
+/// Returns the events from `from` on. The stream breaks off before `until`.
 fn events(id: String, from: u64, until: u64) -> Body {
     let frames = stream::unfold(from, move |number| {
         let id = id.clone();
         async move {
-            if number > EVENTS {
+            if number > STREAM_EVENTS {
                 return None;
             }
             sleep(Duration::from_millis(20)).await;
             if number == until {
-                let broken = std::io::Error::other("broken off");
-                return Some((Err(broken), EVENTS + 1));
+                let broken =
+                    std::io::Error::other("stream broken off on purpose");
+                return Some((Err(broken), STREAM_EVENTS + 1));
             }
             let bytes = Bytes::from(event(&id, number));
             Some((Ok(Frame::data(bytes)), number + 1))
