--- a/examples/quickstart/main.rs
+++ b/examples/quickstart/main.rs
@@ -1,8 +1,8 @@
-//! `cargo run --example quickstart`: the whole path on this machine.
+//! `cargo run --example quickstart`: a complete system on this machine.
 //!
-//! Brings up one control member, two entries and two stand-in endpoints as
-//! processes of their own on loopback, applies the sample configuration,
-//! makes a streamed model call and sends an alert, and says what happened.
+//! Starts one control member, two entries and two stand-in endpoints as
+//! separate processes on loopback, applies the sample configuration, makes a
+//! streamed model call, sends an alert, and prints what happened.
 
 use std::{
     error::Error,
@@ -13,7 +13,7 @@
     time::{Duration, Instant},
 };
 
-/// Ends its process when dropped.
+/// A child process, which is killed when this value is dropped.
 struct Process {
     name: String,
     child: Child,
@@ -33,13 +33,13 @@
     build()?;
     let folder = std::env::temp_dir()
         .join(format!("azuremount-quickstart-{}", std::process::id()));
-    let control_at = free_address()?;
+    let control_address = free_address()?;
     let control = start(
         "azuremount-control",
         &[
             "--id=1",
-            &format!("--listen={control_at}"),
-            &format!("--members=1={control_at}"),
+            &format!("--listen={control_address}"),
+            &format!("--members=1={control_address}"),
             &format!("--data-folder={}", folder.display()),
         ],
     )?;
@@ -47,7 +47,8 @@
         entry("entry-1", "barasat", &control.address)?,
         entry("entry-2", "howrah", &control.address)?,
     ];
-    let listed = format!("{},{}", entries[0].address, entries[1].address);
+    let entry_addresses =
+        format!("{},{}", entries[0].address, entries[1].address);
     operator(&[
         "apply",
         "examples/roddur",
@@ -57,8 +58,8 @@
         &format!("--control={}", control.address),
     ])?;
     let endpoints = [
-        endpoint("model", "gpu-1", "sathi-7b", "barasat", &listed)?,
-        endpoint("plain", "sms-1", "alerts", "howrah", &listed)?,
+        endpoint("model", "gpu-1", "sathi-7b", "barasat", &entry_addresses)?,
+        endpoint("plain", "sms-1", "alerts", "howrah", &entry_addresses)?,
     ];
     wait_for_endpoints(&control.address)?;
     println!("\n== a teacher asks, streamed");
@@ -69,7 +70,7 @@
         "--team=classroom",
         "--max-tokens=24",
         "--key=quickstart-question",
-        &format!("--entry={listed}"),
+        &format!("--entry={entry_addresses}"),
     ])?;
     println!("\n== an alert, at most once");
     for _ in 0..2 {
@@ -79,19 +80,19 @@
             "UV 11 at 12:00, keep the pupils inside",
             "--team=alerts",
             "--key=quickstart-alert",
-            &format!("--entry={listed}"),
+            &format!("--entry={entry_addresses}"),
         ])?;
     }
-    println!("\n== why the question went where it went");
+    println!("\n== how the question was routed");
     operator(&[
         "explain",
         "quickstart-question",
-        &format!("--entry={listed}"),
+        &format!("--entry={entry_addresses}"),
     ])?;
     println!("\n== the system");
     operator(&["status", &format!("--control={}", control.address)])?;
     for process in endpoints.iter().chain(&entries) {
-        println!("ends {}", process.name);
+        println!("stopping {}", process.name);
     }
     drop((endpoints, entries, control));
     std::fs::remove_dir_all(&folder)?;
@@ -101,12 +102,12 @@
 fn build() -> Result<()> {
     let mut build = Command::new(env!("CARGO"));
     build.args(["build", "--quiet", "--bins", "--example", "standin"]);
-    // The programs are looked for beside this one.
-    if programs()?.ends_with("release") {
+    // `program_folder` returns a folder of this example's own build profile.
+    if program_folder()?.ends_with("release") {
         build.arg("--release");
     }
     let built = build.status()?;
-    if built.success() { Ok(()) } else { Err("the build failed".into()) }
+    if built.success() { Ok(()) } else { Err("cargo build failed".into()) }
 }
 
 fn free_address() -> Result<String> {
@@ -114,15 +115,20 @@
     Ok(listener.local_addr()?.to_string())
 }
 
-/// The folder that holds the programs: this one is in `examples` below it.
-fn programs() -> Result<PathBuf> {
+/// Returns the folder of the programs, which is the parent of `examples`, the
+/// folder of this executable.
+fn program_folder() -> Result<PathBuf> {
     let me = std::env::current_exe()?;
-    let examples = me.parent().ok_or("no folder")?;
-    Ok(examples.parent().ok_or("no folder")?.to_owned())
+    let examples = me.parent().ok_or("the executable has no parent folder")?;
+    Ok(examples
+        .parent()
+        .ok_or("the executable has no parent folder")?
+        .to_owned())
 }
 
-/// `argh` takes a flag and its value as two words.
-fn words(arguments: &[&str]) -> Vec<String> {
+/// Splits `--flag=value` arguments, because `argh` takes a flag and its value
+/// as two arguments.
+fn split_flags(arguments: &[&str]) -> Vec<String> {
     let split = |argument: &&str| match argument.split_once('=') {
         Some((flag, value)) if flag.starts_with("--") => {
             vec![flag.to_owned(), value.to_owned()]
@@ -133,18 +139,19 @@
 }
 
 fn start(program: &str, arguments: &[&str]) -> Result<Process> {
-    let mut child = Command::new(programs()?.join(program))
-        .args(words(arguments))
+    let mut child = Command::new(program_folder()?.join(program))
+        .args(split_flags(arguments))
         .env("AZUREMOUNT_LOG_LEVEL", "warn")
         .stdout(Stdio::piped())
         .spawn()?;
-    let stdout = child.stdout.take().ok_or("no output")?;
+    let stdout =
+        child.stdout.take().ok_or("the child process has no stdout")?;
     let mut line = String::new();
     BufReader::new(stdout).read_line(&mut line)?;
     let address = line
         .trim()
         .strip_prefix("listening ")
-        .ok_or("the program did not start")?
+        .ok_or("the program did not print its listening address")?
         .to_owned();
     println!("{program} at {address}");
     Ok(Process { name: program.to_owned(), child, address })
@@ -183,8 +190,8 @@
 }
 
 fn operator(arguments: &[&str]) -> Result<()> {
-    let done = Command::new(programs()?.join("azuremount"))
-        .args(words(arguments))
+    let done = Command::new(program_folder()?.join("azuremount"))
+        .args(split_flags(arguments))
         .status()?;
     if done.success() {
         Ok(())
@@ -194,9 +201,9 @@
 }
 
 fn wait_for_endpoints(control: &str) -> Result<()> {
-    let give_up = Instant::now() + Duration::from_secs(20);
-    while Instant::now() < give_up {
-        let output = Command::new(programs()?.join("azuremount"))
+    let deadline = Instant::now() + Duration::from_secs(20);
+    while Instant::now() < deadline {
+        let output = Command::new(program_folder()?.join("azuremount"))
             .args(["status", "--control", control])
             .output()?;
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
@@ -205,5 +212,5 @@
         }
         sleep(Duration::from_millis(100));
     }
-    Err("the endpoints did not come up".into())
+    Err("the endpoints were not live within 20 s".into())
 }
--- a/examples/standin/announce.rs
+++ b/examples/standin/announce.rs
@@ -1,4 +1,4 @@
-//! How a stand-in makes itself known: announce, heartbeat, leave.
+//! Announcement, heartbeats and departure of a stand-in endpoint.
 
 use std::{
     net::SocketAddr,
@@ -15,12 +15,12 @@
 
 use crate::{Flags, Kind};
 
-/// Between two heartbeats.
-const HEARTBEAT: Duration = Duration::from_millis(500);
-/// How long an entry may take.
-const LIMIT: Duration = Duration::from_millis(2000);
+/// Interval between two heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Time within which an entry has to answer a call.
+const CALL_TIMEOUT: Duration = Duration::from_millis(2000);
 
-/// This process as the system knows it.
+/// The registration of this process with the entries.
 pub struct Session {
     flags: Flags,
     address: SocketAddr,
@@ -48,7 +48,8 @@
         }
     }
 
-    /// Announces and sends heartbeats until the system says to end.
+    /// Announces the endpoint and sends heartbeats until an entry answers
+    /// that the endpoint is gone.
     pub async fn run(&self, kind: &Kind) {
         if self.entries.is_empty() {
             std::future::pending::<()>().await;
@@ -81,9 +82,9 @@
             });
             match self.post("heartbeat", &body).await {
                 Some(answer) if answer.status == StatusCode::OK => {
-                    done = self.obey(&answer, done);
+                    done = self.carry_out_orders(&answer, done);
                     self.publish_cache(kind).await;
-                    sleep(HEARTBEAT).await;
+                    sleep(HEARTBEAT_INTERVAL).await;
                 }
                 Some(answer) if answer.status == StatusCode::NOT_FOUND => {
                     announced = false;
@@ -109,16 +110,16 @@
             "slots": self.flags.slots,
         });
         let answer = self.post("announce", &body).await;
-        let taken =
+        let accepted =
             answer.is_some_and(|answer| answer.status == StatusCode::OK);
-        if !taken {
+        if !accepted {
             self.next_entry().await;
         }
-        taken
+        accepted
     }
 
-    /// Carries out orders, oldest first; returns the last sequence.
-    fn obey(&self, answer: &Answer, done: u64) -> u64 {
+    /// Carries out orders, oldest first. Returns the highest sequence.
+    fn carry_out_orders(&self, answer: &Answer, done: u64) -> u64 {
         let body: Value =
             serde_json::from_slice(&answer.body).unwrap_or_default();
         let mut last = done;
@@ -134,7 +135,8 @@
         last
     }
 
-    /// Tells all entries what the cache gained and lost, some of it.
+    /// Sends the blocks added to and evicted from the cache to all entries,
+    /// without the configured share of lost events.
     async fn publish_cache(&self, kind: &Kind) {
         let (mut added, mut evicted) = kind.cache_events();
         let lost = self.flags.lost_events;
@@ -158,25 +160,27 @@
         }
     }
 
-    /// Says that it leaves, and ends when its requests have.
+    /// Announces the departure and waits until all requests have finished,
+    /// for about `within_ms` at most.
     pub async fn leave(&self, kind: &Kind) {
-        let give_up =
+        let deadline =
             Instant::now() + Duration::from_millis(self.flags.within_ms);
         let body = json!({
             "id": self.flags.id,
             "incarnation": self.incarnation,
             "within_ms": self.flags.within_ms,
         });
-        while !self.entries.is_empty() && Instant::now() < give_up {
+        while !self.entries.is_empty() && Instant::now() < deadline {
             let answer = self.post("leave", &body).await;
             if answer.is_some_and(|answer| answer.status.is_success()) {
                 break;
             }
             self.next_entry().await;
         }
-        // Work that was sent before the notice got round still comes in.
+        // Requests that entries sent before they learned of the departure
+        // still arrive.
         sleep(Duration::from_millis(300)).await;
-        while kind.load() != (0, 0) && Instant::now() < give_up {
+        while kind.load() != (0, 0) && Instant::now() < deadline {
             sleep(Duration::from_millis(20)).await;
         }
     }
@@ -204,6 +208,6 @@
             headers: HeaderMap::new(),
             body: Bytes::from(body.to_string()),
         };
-        self.dispatcher.repeatable(call, LIMIT, true).await.ok()
+        self.dispatcher.repeatable(call, CALL_TIMEOUT, true).await.ok()
     }
 }
--- a/examples/standin/engine.rs
+++ b/examples/standin/engine.rs
@@ -1,7 +1,8 @@
-//! A model engine: batches, a prefix cache, resuming, KV export and import.
+//! A stand-in model engine with batches, a prefix cache, resumption, and KV
+//! export and import.
 //!
-//! The answer to a prompt is known beforehand: piece `n` names the prompt's
-//! checksum and `n`. So a test can tell a whole answer from a wrong one.
+//! The answer to a prompt is deterministic: piece `n` consists of the prompt's
+//! checksum and `n`, so that a test can check an answer.
 
 use std::{
     collections::VecDeque,
@@ -34,8 +35,8 @@
     fault::{Fault, Faults},
 };
 
-/// Requests whose KV cache can still be fetched.
-const KV_KEPT: usize = 256;
+/// Number of most recent requests whose KV cache can be fetched.
+const MAX_KV_REQUESTS: usize = 256;
 
 #[derive(Default)]
 struct Counts {
@@ -48,19 +49,19 @@
 
 #[derive(Default)]
 struct Cache {
-    /// Least recently used first.
+    /// Hashes of cached prompt blocks, least recently used first.
     blocks: VecDeque<u64>,
     added: Vec<u64>,
     evicted: Vec<u64>,
     kv: VecDeque<String>,
 }
 
-/// The engine.
+/// A stand-in model engine.
 pub struct Engine {
     pub faults: Faults,
     flags: Flags,
     slots: Arc<Semaphore>,
-    /// Prompts are computed one after the other.
+    /// Held while a prompt is computed, so that prompts run one at a time.
     compute: AsyncMutex<()>,
     running: AtomicU32,
     waiting: AtomicU32,
@@ -77,7 +78,7 @@
     imported: bool,
 }
 
-/// The text of one piece of the answer to a prompt.
+/// Returns the text of one piece of the answer to a prompt.
 pub fn piece(prompt: &str, offset: u64) -> String {
     format!("{:08x}.{offset} ", crc32fast::hash(prompt.as_bytes()))
 }
@@ -113,7 +114,7 @@
         })
     }
 
-    /// What changed in the cache since the last call.
+    /// Takes the blocks added and evicted since the last call.
     pub fn cache_events(&self) -> (Vec<u64>, Vec<u64>) {
         let mut cache = self.cache.lock().expect("cache");
         let added = std::mem::take(&mut cache.added);
@@ -170,9 +171,9 @@
         let resume = body["azuremount_resume"]["pieces"].as_u64();
         let text = body["azuremount_resume"]["text"].as_str().unwrap_or("");
         let resume = resume.unwrap_or(0);
-        let right: String =
+        let expected: String =
             (0..resume).map(|offset| piece(&chat.prompt, offset)).collect();
-        if text != right {
+        if text != expected {
             self.counts.lock().expect("counts").wrong_resumes += 1;
         }
         let imported = match request.header("azuremount-kv-from") {
@@ -213,7 +214,8 @@
         drop(slot);
     }
 
-    /// Streams the answer; an error means that the entry has gone.
+    /// Streams the answer. An error means that the entry has closed the
+    /// connection.
     async fn answer(
         &self,
         job: &Job,
@@ -229,8 +231,8 @@
             for pair in order.chunks_exact_mut(3) {
                 pair.swap(0, 2);
             }
-            let doubled = order.iter().flat_map(|one| [*one, *one]);
-            order = doubled.collect();
+            let duplicated = order.iter().flat_map(|one| [*one, *one]);
+            order = duplicated.collect();
         }
         for offset in order {
             let fault = self.faults.get();
@@ -243,7 +245,7 @@
                 Fault::DieAt(at) if offset >= at => std::process::exit(9),
                 _ => {}
             }
-            sleep(self.step(fault)).await;
+            sleep(self.piece_duration(fault)).await;
             let mut data = json!({
                 "choices": [{
                     "index": 0,
@@ -262,8 +264,9 @@
         send.send(Piece::End).await
     }
 
-    /// The time of one step: a fuller batch is slower.
-    fn step(&self, fault: Fault) -> Duration {
+    /// Returns the time to generate one piece, which grows with the number of
+    /// running requests.
+    fn piece_duration(&self, fault: Fault) -> Duration {
         let running = self.running.load(Ordering::Relaxed);
         let base = Duration::from_millis(self.flags.piece_ms);
         let step = base + base * running / (4 * self.flags.slots);
@@ -273,7 +276,8 @@
         }
     }
 
-    /// Computes what is not cached; returns all tokens, and the cached ones.
+    /// Computes the prompt tokens that are not cached. Returns the numbers of
+    /// all and of cached tokens.
     async fn prefill(&self, job: &Job) -> (u64, u64) {
         let prompt = u64::from(job.chat.prompt_tokens()) + job.resume;
         let cached = if job.imported {
@@ -283,10 +287,10 @@
         };
         let fresh = prompt - cached;
         {
-            let _turn = self.compute.lock().await;
+            let _guard = self.compute.lock().await;
             sleep(Duration::from_micros(self.flags.prefill_us * fresh)).await;
         }
-        self.remember(&job.blocks);
+        self.cache_prompt(&job.blocks);
         let mut counts = self.counts.lock().expect("counts");
         counts.computed_tokens += fresh;
         counts.cached_tokens += cached;
@@ -302,9 +306,9 @@
         held as u64 * u64::from(BLOCK_TOKENS)
     }
 
-    fn remember(&self, blocks: &[u64]) {
+    fn cache_prompt(&self, blocks: &[u64]) {
         let mut cache = self.cache.lock().expect("cache");
-        // The start of a prompt last, so that it is evicted last.
+        // Inserts the start of a prompt last, so that it is evicted last.
         for &block in blocks.iter().rev() {
             let found = cache.blocks.iter().position(|held| *held == block);
             match found {
@@ -325,7 +329,7 @@
     fn keep_kv(&self, id: &str) {
         let mut cache = self.cache.lock().expect("cache");
         cache.kv.push_back(id.to_owned());
-        if cache.kv.len() > KV_KEPT {
+        if cache.kv.len() > MAX_KV_REQUESTS {
             cache.kv.pop_front();
         }
     }
--- a/examples/standin/fault.rs
+++ b/examples/standin/fault.rs
@@ -1,29 +1,29 @@
-//! Faults that a stand-in can be told to have.
+//! Faults that can be injected into a stand-in.
 
 use std::sync::Mutex;
 
 use serde::Deserialize;
 
-/// What goes wrong, from the moment it is set.
+/// A fault, which applies from the moment it is set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "fault", content = "at")]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Runs each request, then says nothing more.
+    /// Runs each request, then never answers.
     Silent,
-    /// Goes silent at this piece of each answer, connection open.
+    /// Stops sending at this piece of each answer; the connection stays open.
     SilentAt(u64),
-    /// Breaks the connection at this piece of each answer.
+    /// Closes the connection at this piece of each answer.
     CutAt(u64),
-    /// Ends the process at this piece, or on running a plain call.
+    /// Exits the process at this piece, or when running a plain call.
     DieAt(u64),
-    /// Says that it did not run the request.
+    /// Answers that the request did not run.
     Refuse,
-    /// Sends pieces doubled and out of order.
+    /// Sends each piece twice and out of order.
     Shuffle,
-    /// Takes this many times as long.
+    /// Takes this many times as long to answer.
     Slow(u64),
 }
 
@@ -32,12 +32,12 @@
 pub struct Faults(Mutex<Fault>);
 
 impl Faults {
-    /// The fault in force.
+    /// Returns the fault in force.
     pub fn get(&self) -> Fault {
         *self.0.lock().unwrap_or_else(|held| held.into_inner())
     }
 
-    /// Puts another one in force.
+    /// Replaces the fault in force.
     pub fn set(&self, fault: Fault) {
         *self.0.lock().unwrap_or_else(|held| held.into_inner()) = fault;
     }
--- a/examples/standin/main.rs
+++ b/examples/standin/main.rs
@@ -1,14 +1,15 @@
-//! A stand-in endpoint: a model engine or a plain service, for the quickstart,
-//! the tests and the measurements.
+//! A stand-in endpoint, either a model engine or a plain service, for the
+//! quickstart, the tests and the measurements.
 //!
 //! ```text
 //! cargo run --example standin -- --kind model --id gpu-1 \
 //!     --service sathi-7b --data-centre barasat --entries 127.0.0.1:8001
 //! ```
 //!
-//! It speaks the interface of `docs/ENDPOINTS.md`: announces itself, sends
-//! heartbeats with its load, and on SIGTERM says that it leaves. Faults are
-//! set by `POST /standin/fault`, counts read by `GET /standin/stats`.
+//! The program implements the interface of `docs/ENDPOINTS.md`: it announces
+//! itself, sends heartbeats with its load, and announces its departure on
+//! SIGTERM. `POST /standin/fault` sets a fault, `GET /standin/stats` returns
+//! the counts.
 
 mod announce;
 mod engine;
@@ -34,52 +35,52 @@
     /// the endpoint's id
     #[argh(option)]
     id: String,
-    /// the service that it offers
+    /// the service that the endpoint offers
     #[argh(option)]
     service: String,
-    /// where it is
+    /// the endpoint's data centre
     #[argh(option)]
     data_centre: String,
-    /// entries to announce to, as ip:port,ip:port; none: announces nothing
+    /// entries to announce to, as ip:port,ip:port (none: no announcement)
     #[argh(option, default = "String::new()")]
     entries: String,
     /// address to listen on
     #[argh(option, default = "SocketAddr::from(([127, 0, 0, 1], 0))")]
     listen: SocketAddr,
-    /// address to announce, if not the one listened on
+    /// address to announce (the address listened on)
     #[argh(option)]
     advertise: Option<SocketAddr>,
-    /// class of its VM
+    /// class of the endpoint's VM
     #[argh(option, default = "String::new()")]
     class: String,
-    /// its VM may be reclaimed
+    /// the endpoint's VM may be reclaimed
     #[argh(switch)]
     reclaimable: bool,
     /// refuses orders with an old fencing number
     #[argh(switch)]
     checks_fencing: bool,
-    /// requests at a time
+    /// maximum number of concurrent requests
     #[argh(option, default = "8")]
     slots: u32,
-    /// milliseconds for a piece, or for a plain call
+    /// time to generate one piece or run one plain call, in milliseconds
     #[argh(option, default = "10")]
     piece_ms: u64,
-    /// microseconds to compute one prompt token
+    /// time to compute one prompt token, in microseconds
     #[argh(option, default = "20")]
     prefill_us: u64,
-    /// prompt blocks that the cache holds
+    /// capacity of the prefix cache, in prompt blocks
     #[argh(option, default = "2000")]
     cache_blocks: usize,
-    /// cache events that are lost, in percent
+    /// share of cache events that are lost, in percent
     #[argh(option, default = "20")]
     lost_events: u32,
-    /// how old a reported load is, in milliseconds
+    /// age of the load in heartbeats, in milliseconds
     #[argh(option, default = "0")]
     report_lag_ms: u64,
-    /// milliseconds between SIGTERM and the end, at most
+    /// maximum time between SIGTERM and exit, in milliseconds
     #[argh(option, default = "5000")]
     within_ms: u64,
-    /// file to which each run of a plain call adds its key
+    /// file to which each run of a plain call appends its key
     #[argh(option)]
     runs: Option<PathBuf>,
 }
--- a/examples/standin/plain.rs
+++ b/examples/standin/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service that remembers what it ran.
+//! A stand-in plain service, which records each request that it runs.
 
 use std::{
     fs::{File, OpenOptions},
@@ -23,7 +23,7 @@
     fault::{Fault, Faults},
 };
 
-/// The service.
+/// A stand-in plain service.
 pub struct Plain {
     pub faults: Faults,
     work: Duration,
@@ -37,7 +37,7 @@
         let file = flags.runs.as_ref().map(|path| {
             let opened =
                 OpenOptions::new().create(true).append(true).open(path);
-            Mutex::new(opened.expect("the file of runs can be opened"))
+            Mutex::new(opened.expect("the runs file can be opened"))
         });
         Plain {
             faults: Faults::default(),
@@ -66,7 +66,7 @@
             return response;
         }
         let key = request.header("idempotency-key").unwrap_or("-");
-        self.note_run(key);
+        self.record_run(key);
         match fault {
             Fault::DieAt(_) => std::process::exit(9),
             Fault::Silent => std::future::pending::<()>().await,
@@ -85,12 +85,13 @@
         response
     }
 
-    /// Notes a run where a kill of this process can't take it back.
-    fn note_run(&self, key: &str) {
+    /// Records a run, also in the file if there is one, so that the record
+    /// survives a kill of this process.
+    fn record_run(&self, key: &str) {
         self.runs.lock().expect("runs").push(key.to_owned());
         if let Some(file) = &self.file {
-            let mut file = file.lock().expect("file of runs");
-            writeln!(file, "{key}").expect("the run can be noted");
+            let mut file = file.lock().expect("runs file");
+            writeln!(file, "{key}").expect("the run can be recorded");
         }
     }
 }
