--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,7 +1,8 @@
-//! What operators write: one base file, and one overlay for each site.
+//! Operators' configuration: one base file and one overlay for each site.
 //!
 //! The base describes services, teams, data centres and classes of VM. An
-//! overlay belongs to one data centre and states only what differs there:
+//! overlay belongs to one data centre and contains only the values that differ
+//! there:
 //!
 //! ```toml
 //! site = "barasat"
@@ -10,17 +11,18 @@
 //! slots = 4
 //! ```
 //!
-//! Tables merge, anything else is replaced. The merged tree is then read
-//! strictly: unknown keys, wrong types, numbers out of bounds and names that
-//! refer to nothing are errors, each with file, line and key. A configuration
-//! is [checked](check) for all its sites at once, and one bad overlay refuses
-//! the whole: it is in force everywhere or nowhere.
+//! Tables merge; any other value in the overlay replaces the value in the
+//! base. The merged tree is then validated strictly: unknown keys, wrong
+//! types, numbers out of bounds and references to undefined names are errors,
+//! each reported with file, line and key. [`check`] validates a configuration
+//! for all its sites at once. One invalid overlay invalidates the whole
+//! configuration, so that it is in force at every site or at none.
 //!
 //! # Pitfalls
 //!
-//! An overlay can't remove what the base has; it can only replace values. And
-//! every data centre needs an overlay, be it one line long: a forgotten site
-//! would otherwise run on the base alone without anybody having decided so.
+//! An overlay can't remove values of the base; it can only replace them. Every
+//! data centre needs an overlay, even if it only names the site. Otherwise a
+//! site that was forgotten would run on the base alone without a decision.
 
 mod reader;
 mod tree;
@@ -38,11 +40,11 @@
 common! {
     /// One error in a configuration.
     pub struct Problem {
-        /// Which file and line.
+        /// File and line.
         pub place: Place,
-        /// The dotted key; empty for the file as a whole.
+        /// Dotted key; empty if the error concerns the whole file.
         pub key: String,
-        /// What is wrong, with the value and its bounds.
+        /// Description of the error, with the value and its bounds.
         pub text: String,
     }
 }
@@ -58,11 +60,11 @@
 }
 
 common! {
-    /// The configuration of one site, checked.
+    /// Validated configuration of one site.
     pub struct Config {
-        /// The data centre it was rendered for.
+        /// Data centre that the configuration was rendered for.
         pub site: String,
-        /// What the whole system shares.
+        /// Settings of the whole system.
         pub system: System,
         /// Sorted by name.
         pub data_centres: Vec<DataCentre>,
@@ -76,17 +78,17 @@
 }
 
 common! {
-    /// Settings without a table of their own.
+    /// Settings that apply to the whole system (table `system`).
     pub struct System {
-        /// Who runs it.
+        /// Name of the system.
         pub name: String,
-        /// How long a caller keeps the list of entries, in ms.
+        /// Time that a caller keeps the list of entries, in ms.
         pub keep_entries_ms: u64,
-        /// For a request that names no deadline, in ms.
+        /// Deadline of a request that specifies none, in ms.
         pub deadline_ms: u64,
-        /// How long a stopping entry lets requests finish, in ms.
+        /// Time that a stopping entry gives requests to finish, in ms.
         pub drain_ms: u64,
-        /// Retries and hedges, in percent of recent successes.
+        /// Limit on retries and hedges, in percent of recent successes.
         pub retry_percent: u64,
     }
 }
@@ -94,30 +96,29 @@
 common! {
     /// A data centre; its overlay has the same name.
     pub struct DataCentre {
-        /// Its name.
         pub name: String,
-        /// The region it lies in.
+        /// Region of the data centre.
         pub region: String,
     }
 }
 
 common! {
-    /// Those who send requests, and what they are owed.
+    /// A group of callers, with its weight and latency targets.
     pub struct Team {
-        /// Its name, as callers send it.
+        /// Name, as callers send it.
         pub name: String,
-        /// Its share against the other teams'.
+        /// Weight of the team's share relative to the other teams'.
         pub weight: u64,
-        /// Target for the first token at p95, in ms.
+        /// Target for the p95 of the time to the first token, in ms.
         pub first_token_ms: u64,
-        /// Target between two tokens at p95, in ms.
+        /// Target for the p95 of the time between two tokens, in ms.
         pub between_tokens_ms: u64,
     }
 }
 
 common! {
     copy
-    /// What kind of service an endpoint offers.
+    /// Kind of a service.
     pub enum Kind {
         /// A language model that streams tokens.
         Model,
@@ -127,27 +128,26 @@
 }
 
 common! {
-    /// Something that endpoints offer and callers ask for.
+    /// A service that endpoints provide and callers request.
     pub struct Service {
-        /// Its name, as callers send it.
+        /// Name, as callers send it.
         pub name: String,
-        /// Model or plain.
         pub kind: Kind,
-        /// Whether a call may be repeated, unless its path says otherwise.
+        /// Whether calls on all paths may be repeated.
         pub repeatable: bool,
-        /// Paths whose calls may be repeated all the same.
+        /// Paths whose calls may be repeated even if `repeatable` is false.
         pub repeatable_paths: Vec<String>,
-        /// Requests that one endpoint takes at a time.
+        /// Requests that one endpoint runs concurrently.
         pub slots: u64,
-        /// Silence after which an answer is taken to be lost, in ms.
+        /// Time without data after which an answer counts as lost, in ms.
         pub silence_ms: u64,
-        /// Requests that may wait for each endpoint.
+        /// Maximum number of requests that wait for each endpoint.
         pub queue: u64,
-        /// How its requests are routed.
+        /// Routing policy for requests.
         pub routing: Policy,
-        /// What recomputing is worth against its time, in percent.
+        /// Weight of recomputing relative to its time, in percent.
         pub recompute_percent: u64,
-        /// How old a load is when its endpoint reports it, in ms.
+        /// Age of a load when its endpoint reports it, in ms.
         pub report_lag_ms: u64,
     }
 }
@@ -155,17 +155,16 @@
 common! {
     /// A class of VM that the cloud offers.
     pub struct Class {
-        /// Its name.
         pub name: String,
-        /// Thousandths of a cent for an hour.
+        /// Price of one hour, in thousandths of a cent.
         pub price: u64,
-        /// Whether the cloud may take it back.
+        /// Whether the cloud may reclaim the VM.
         pub reclaimable: bool,
     }
 }
 
 impl Service {
-    /// Whether a call to `path` may be run twice.
+    /// Returns whether a call to `path` may run twice.
     pub fn may_repeat(&self, path: &str) -> bool {
         self.repeatable
             || self.repeatable_paths.iter().any(|known| known == path)
@@ -173,27 +172,31 @@
 }
 
 impl Config {
-    /// The team of that name.
+    /// Returns the team with the given name.
     pub fn team(&self, name: &str) -> Option<&Team> {
         let at = position(&self.teams, name, |team| team.name.as_str());
         at.ok().map(|at| &self.teams[at])
     }
 
-    /// The service of that name.
+    /// Returns the service with the given name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         let at =
             position(&self.services, name, |service| service.name.as_str());
         at.ok().map(|at| &self.services[at])
     }
 
-    /// The class of that name.
+    /// Returns the class with the given name.
     pub fn class(&self, name: &str) -> Option<&Class> {
         let at = position(&self.classes, name, |class| class.name.as_str());
         at.ok().map(|at| &self.classes[at])
     }
 }
 
-/// Renders every site; all errors of all sites, in the order of the files.
+/// Renders the configurations of all sites.
+///
+/// # Errors
+///
+/// All errors of all sites, in the order of the files.
 pub fn check(
     base: &SourceFile,
     overlays: &[SourceFile],
@@ -216,7 +219,7 @@
     if problems.is_empty() {
         check_sites(base, &configs, &mut problems);
     }
-    // An error in the base shows up once for each site.
+    // An error in the base occurs once for each site; report it only once.
     let mut distinct: Vec<Problem> = Vec::new();
     for problem in problems {
         if !distinct.contains(&problem) {
@@ -226,7 +229,7 @@
     if distinct.is_empty() { Ok(configs) } else { Err(distinct) }
 }
 
-/// Renders one site.
+/// Renders the configuration of one site.
 pub fn render(
     base: &SourceFile,
     overlay: &SourceFile,
@@ -240,7 +243,7 @@
     }
 }
 
-/// The overlay whose `site` is the given data centre.
+/// Returns the overlay whose `site` is the given data centre.
 pub fn overlay_for<'a>(
     overlays: &'a [SourceFile],
     site: &str,
@@ -260,7 +263,7 @@
     overlay: &SourceFile,
     problems: &mut Vec<Problem>,
 ) -> Option<Config> {
-    let over = match Node::parse(overlay) {
+    let overlay_tree = match Node::parse(overlay) {
         Ok(tree) => tree,
         Err(problem) => {
             problems.push(problem);
@@ -268,7 +271,7 @@
         }
     };
     let mut tree = base.clone();
-    tree.merge(&over);
+    tree.merge(&overlay_tree);
     read_config(&tree, overlay, problems)
 }
 
@@ -446,8 +449,8 @@
             Kind::Plain
         }
     };
-    // Repeating is harmless only where somebody said so; a model's answer
-    // has no effect outside.
+    // Calls may be repeated only if the configuration says so, except that
+    // model calls may by default: they have no external effect.
     let model = kind == Kind::Model;
     let written = table.text("routing", Some("cost"), problems);
     let routing = Policy::parse(&written).unwrap_or_else(|| {
@@ -504,18 +507,19 @@
     class
 }
 
-/// One site's configuration as a TOML file: the base with its overlay on top.
+/// Returns one site's configuration as TOML: the base merged with the overlay.
 ///
 /// # Errors
 ///
-/// As [`render`].
+/// The same as for [`render`].
 pub fn effective(
     base: &SourceFile,
     overlay: &SourceFile,
 ) -> Result<String, Vec<Problem>> {
     render(base, overlay)?;
     let mut tree = Node::parse(base).map_err(|problem| vec![problem])?;
-    let over = Node::parse(overlay).map_err(|problem| vec![problem])?;
-    tree.merge(&over);
+    let overlay_tree =
+        Node::parse(overlay).map_err(|problem| vec![problem])?;
+    tree.merge(&overlay_tree);
     Ok(toml::to_string_pretty(&tree.to_toml()).unwrap_or_default())
 }
--- a/src/config/reader.rs
+++ b/src/config/reader.rs
@@ -1,9 +1,9 @@
-//! Strict reading of a tree: every key must be asked for, every error counts.
+//! Strict reading of a configuration tree: unknown keys are errors.
 //!
-//! A [`Reader`] stands for one table. Getters note what they read; dropping
-//! out through [`Reader::finish`] reports every key that nothing asked for.
-//! Errors are gathered rather than returned, so that one run of `check` shows
-//! all of them.
+//! A [`Reader`] reads one table. Its getters record the keys that they read,
+//! and [`Reader::finish`] reports every other key as unknown. Errors are
+//! collected rather than returned, so that one run of `check` shows all of
+//! them.
 
 use std::ops::RangeInclusive;
 
@@ -12,16 +12,16 @@
     tree::{Node, Place, Value},
 };
 
-/// One table being read.
+/// Reads one table and records the keys that were requested.
 pub struct Reader<'a> {
     path: String,
     place: &'a Place,
     pairs: &'a [(String, Node)],
-    seen: Vec<&'static str>,
+    requested: Vec<&'static str>,
 }
 
 impl<'a> Reader<'a> {
-    /// Starts on a table; an error if the node is none.
+    /// Opens a table; reports a problem if the node is not a table.
     pub fn open(
         path: String,
         node: &'a Node,
@@ -31,15 +31,15 @@
             problems.push(mismatch(&path, node, "a table"));
             return None;
         };
-        Some(Reader { path, place: &node.place, pairs, seen: Vec::new() })
+        Some(Reader { path, place: &node.place, pairs, requested: Vec::new() })
     }
 
-    /// Where the table starts.
+    /// Returns the place where the table starts.
     pub fn place(&self) -> &Place {
         self.place
     }
 
-    /// The dotted path of a key in this table.
+    /// Returns the dotted path of a key in this table.
     pub fn path_of(&self, key: &str) -> String {
         if self.path.is_empty() {
             key.to_owned()
@@ -48,14 +48,14 @@
         }
     }
 
-    /// The node behind a key, if it is there.
+    /// Returns the node of a key, if the key is present.
     pub fn node(&mut self, key: &'static str) -> Option<&'a Node> {
-        self.seen.push(key);
+        self.requested.push(key);
         let found = self.pairs.iter().find(|(known, _)| known == key);
         found.map(|(_, node)| node)
     }
 
-    /// The named tables below a key, such as `teams.*`.
+    /// Returns the named tables below a key, such as `teams.*`.
     pub fn tables(
         &mut self,
         key: &'static str,
@@ -77,7 +77,7 @@
             .collect()
     }
 
-    /// A text, or `default`; without a default the key must be there.
+    /// Returns a text, or `default`. Without a default the key is required.
     pub fn text(
         &mut self,
         key: &'static str,
@@ -99,7 +99,8 @@
         }
     }
 
-    /// A whole number within bounds, or `default`.
+    /// Returns a whole number within bounds, or `default`. Without a default
+    /// the key is required.
     pub fn integer(
         &mut self,
         key: &'static str,
@@ -139,7 +140,7 @@
         }
     }
 
-    /// True or false, or `default`.
+    /// Returns a boolean, or `default`.
     pub fn flag(
         &mut self,
         key: &'static str,
@@ -157,7 +158,7 @@
         }
     }
 
-    /// A list of texts; empty when the key is not there.
+    /// Returns a list of texts; empty if the key is absent.
     pub fn texts(
         &mut self,
         key: &'static str,
@@ -179,13 +180,13 @@
         texts
     }
 
-    /// Reports the keys that nothing asked for.
+    /// Reports the keys that no getter requested.
     pub fn finish(self, problems: &mut Vec<Problem>) {
         for (key, node) in self.pairs {
-            if self.seen.iter().any(|seen| seen == key) {
+            if self.requested.iter().any(|requested| requested == key) {
                 continue;
             }
-            let known: Vec<&str> = self.seen.clone();
+            let known: Vec<&str> = self.requested.clone();
             problems.push(Problem {
                 place: node.place.clone(),
                 key: self.path_of(key),
--- a/src/config/tree.rs
+++ b/src/config/tree.rs
@@ -1,8 +1,8 @@
-//! TOML files as trees whose every node knows where it was written.
+//! TOML files as trees in which every node stores its file and line.
 //!
-//! Overlays are merged on these trees, before any meaning is given to them,
-//! so that an error in a merged configuration still names the file and line
-//! that brought the value in.
+//! Overlays are merged on these trees, before the values are interpreted, so
+//! that an error in a merged configuration still names the file and line that
+//! the value comes from.
 
 use toml::de::{DeTable, DeValue};
 
@@ -13,21 +13,19 @@
 };
 
 common! {
-    /// Where a value was written.
+    /// File and line of a value.
     pub struct Place {
-        /// The file's name.
+        /// Name of the file.
         pub file: String,
-        /// Counted from 1.
+        /// Line number, from 1.
         pub line: usize,
     }
 }
 
 common! {
-    /// A value with its place.
+    /// A value and the place where it is defined.
     pub struct Node {
-        /// The value.
         pub value: Value,
-        /// Where it stands.
         pub place: Place,
     }
 }
@@ -35,15 +33,13 @@
 common! {
     /// The kinds of value that configurations use.
     pub enum Value {
-        /// Text.
         Text(String),
         /// A whole number.
         Integer(i64),
-        /// A number with a point.
+        /// A floating-point number.
         Float(f64),
-        /// True or false.
+        /// A boolean.
         Flag(bool),
-        /// A list.
         List(Vec<Node>),
         /// Keys with values, sorted by key.
         Table(Vec<(String, Node)>),
@@ -51,7 +47,7 @@
 }
 
 impl Node {
-    /// Reads a file into a tree.
+    /// Parses a file.
     pub fn parse(file: &SourceFile) -> Result<Node, Problem> {
         let table = DeTable::parse(&file.text).map_err(|error| {
             let start = error.span().map_or(0, |span| span.start);
@@ -68,26 +64,29 @@
         })
     }
 
-    /// Lays `over` on top: tables merge, anything else is replaced.
-    pub fn merge(&mut self, over: &Node) {
-        let (Value::Table(under), Value::Table(upper)) =
-            (&mut self.value, &over.value)
+    /// Merges `overlay` into this node: tables merge, other values are
+    /// replaced.
+    pub fn merge(&mut self, overlay: &Node) {
+        let (Value::Table(base_pairs), Value::Table(overlay_pairs)) =
+            (&mut self.value, &overlay.value)
         else {
-            *self = over.clone();
+            *self = overlay.clone();
             return;
         };
-        for (key, node) in upper {
-            let found = under.iter_mut().find(|(known, _)| known == key);
+        for (key, node) in overlay_pairs {
+            let found = base_pairs.iter_mut().find(|(known, _)| known == key);
             match found {
                 Some((_, known)) => known.merge(node),
                 None => {
-                    upsert(under, (key.clone(), node.clone()), |pair| &pair.0);
+                    upsert(base_pairs, (key.clone(), node.clone()), |pair| {
+                        &pair.0
+                    });
                 }
             }
         }
     }
 
-    /// The tree without its places.
+    /// Converts the tree to a TOML value without places.
     pub fn to_toml(&self) -> toml::Value {
         match &self.value {
             Value::Text(text) => toml::Value::String(text.clone()),
@@ -106,7 +105,7 @@
         }
     }
 
-    /// What kind of value it is, for messages.
+    /// Returns the kind of the value, for error messages.
     pub fn kind(&self) -> &'static str {
         match self.value {
             Value::Text(_) => "text",
@@ -141,8 +140,8 @@
         DeValue::String(text) => Value::Text(text.to_string()),
         DeValue::Integer(number) => {
             let parsed = i64::from_str_radix(number.as_str(), number.radix());
-            // What does not fit is kept as text; the schema then refuses it
-            // with its place.
+            // A number that does not fit is kept as text, so that the reader
+            // reports it with its place.
             match parsed {
                 Ok(number) => Value::Integer(number),
                 Err(_) => Value::Text(number.as_str().to_owned()),
