--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -1,13 +1,13 @@
-//! Why a request went where it went, or was refused, by a node's log.
+//! Explains from a node's log where a request was sent or why it was refused.
 //!
-//! Nodes that pass requests on keep no record of them but their log: a JSON
-//! line a decision, with what decided it. This reads such a log and says in
-//! words what its lines say of one request, of all that ask for the same, or of
-//! one replica.
+//! Nodes that forward requests record them only in their log, which has a JSON
+//! line for each decision with the values that it was based on. This module
+//! describes in sentences what such a log says about one request, about all
+//! requests with the same fingerprint, or about one replica.
 
 use serde::Deserialize;
 
-/// One line of a log; what it does not have is empty.
+/// One line of a log; fields that the line lacks have their default value.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct Line {
@@ -43,55 +43,55 @@
     evidence: Option<String>,
 }
 
-/// What a log says of a request, a fingerprint or a replica, a sentence a line
-/// of it.
+/// Describes what a log says about a request, a fingerprint or a replica, with
+/// one text for each matching line.
 ///
-/// Lines that can't be read are passed over: a log may begin or end in the
-/// middle of one.
+/// Lines that can't be parsed are skipped, as a log may begin or end in the
+/// middle of a line.
 pub fn explain<'a>(
     log: impl IntoIterator<Item = &'a str>,
     id: &str,
 ) -> Vec<String> {
     log.into_iter()
         .filter(|line| line.contains(id))
-        // What stands before the JSON is whoever collected the log.
+        // A log collector may put a prefix before the JSON.
         .filter_map(|line| line.find('{').map(|at| &line[at..]))
         .filter_map(|json| serde_json::from_str::<Line>(json).ok())
         .filter_map(|line| {
-            let told = if line.request.as_deref() == Some(id) {
-                of_request(&line)
+            let sentence = if line.request.as_deref() == Some(id) {
+                describe_request(&line)
             } else if line.replica.as_deref() == Some(id) {
-                of_replica(&line)
+                describe_replica(&line)
             } else if line.fingerprint.as_deref() == Some(id) {
-                of_fingerprint(&line)
+                describe_fingerprint(&line)
             } else {
                 return None;
             };
-            Some(format!("{} {told}", line.timestamp))
+            Some(format!("{} {sentence}", line.timestamp))
         })
         .collect()
 }
 
-fn of_request(line: &Line) -> String {
+fn describe_request(line: &Line) -> String {
     let after = line.after_ms;
     if let Some(bucket) = line.bucket {
-        return of_quota(line, bucket);
+        return describe_quota_refusal(line, bucket);
     }
     if let (Some(crashes), Some(fingerprint)) =
         (line.crashes, &line.fingerprint)
     {
         return format!(
-            "Refused, not run: {crashes} replicas ended under requests for \
-             the same ({fingerprint}), the last of them {} ms before. Told to \
-             come back in {} ms.",
+            "Refused, not run: {crashes} replicas ended while they ran \
+             requests with the same fingerprint ({fingerprint}), the last of \
+             them {} ms before. The caller was told to come back in {} ms.",
             line.age_ms, line.retry_after_ms
         );
     }
     if let (Some(foretold), Some(limit)) = (line.foretold_ms, line.limit_ms) {
         return format!(
-            "Refused for load, not run: the best replica, {}, would have \
-             begun after {foretold} ms, beyond the limit of {limit} ms. Told \
-             to come back in {} ms.",
+            "Refused for load, not run: the best replica, {}, was predicted \
+             to begin after {foretold} ms, beyond the limit of {limit} ms. \
+             The caller was told to come back in {} ms.",
             line.replica.as_deref().unwrap_or("-"),
             line.retry_after_ms
         );
@@ -100,10 +100,10 @@
     {
         let fetches = if line.fetches { ", and to fetch more" } else { "" };
         return format!(
-            "Went to replica {replica}: of {} prompt tokens {} were taken to \
-             be cached there{fetches}. Its answer began after {after} ms, \
-             foretold were {foretold}. Before it {} replicas may have run it, \
-             and {} turned it away. Status {}.",
+            "Sent to replica {replica}: of {} prompt tokens {} were expected \
+             to be cached there{fetches}. Its answer began after {after} ms, \
+             foretold were {foretold}. Before that, {} replicas may have run \
+             the request, and {} rejected it. Status {}.",
             line.prompt_tokens,
             line.cached,
             line.ran,
@@ -118,28 +118,30 @@
     format!("{}{ran} After {after} ms.{at}", line.message)
 }
 
-fn of_quota(line: &Line, bucket: i64) -> String {
+fn describe_quota_refusal(line: &Line, bucket: i64) -> String {
     let missing = line.need - bucket;
-    let why = match line.paced {
+    let reason = match line.paced {
         _ if line.joining => "this node had just started, did not know yet \
-                              what others use, and has had its part"
+                              what other nodes use, and has used its share"
             .into(),
-        true => "the bucket has enough, but this node has had its part".into(),
+        true => {
+            "the bucket has enough, but this node has used its share".into()
+        }
         false => format!(
             "the bucket holds {bucket} where {} are needed, {} of them for \
-             what other nodes have probably admitted since their last word, \
-             {} ms ago on average",
+             what other nodes have probably admitted since their last \
+             reports, {} ms ago on average",
             line.need, line.unseen, line.word_ms
         ),
     };
-    let let_in = match line.paced || line.joining {
+    let remedy = match line.paced || line.joining {
         true => "a pause, or another node".to_owned(),
         false => format!("{missing} units more"),
     };
     format!(
-        "Refused for the quota of team {}, not run: it counts for {}; {why}. \
-         {} in 100 of the nodes are heard. Let in by {let_in}; told to come \
-         back in {} ms.",
+        "Refused for the quota of team {}, not run: it counts for {} units; \
+         {reason}. This node receives reports from {} % of the nodes. Let in \
+         by {remedy}; the caller was told to come back in {} ms.",
         line.team.as_deref().unwrap_or("-"),
         line.cost,
         line.heard_percent,
@@ -147,24 +149,28 @@
     )
 }
 
-fn of_fingerprint(line: &Line) -> String {
+fn describe_fingerprint(line: &Line) -> String {
     match (&line.request, line.crashes) {
         (Some(request), _) => {
-            format!("Request {request}: {}", of_request(line))
+            format!("Request {request}: {}", describe_request(line))
         }
         (None, Some(crashes)) => format!(
-            "{} That was {crashes} by then, as this node knew; the last of \
-             them {} ms before.",
+            "{} That was {crashes} by then, as far as this node knew; the \
+             last of them {} ms before.",
             line.message, line.age_ms
         ),
         (None, None) => line.message.clone(),
     }
 }
 
-fn of_replica(line: &Line) -> String {
+fn describe_replica(line: &Line) -> String {
     match (line.state, &line.request) {
-        (Some(0), _) => "Announced itself: it may be given work.".to_owned(),
-        (Some(1), _) => "Said that it leaves: no new work.".to_owned(),
+        (Some(0), _) => {
+            "Announced itself: it may receive requests.".to_owned()
+        }
+        (Some(1), _) => {
+            "Said that it leaves: it receives no new requests.".to_owned()
+        }
         (Some(_), _) => "Gone.".to_owned(),
         (None, Some(request)) if line.message.starts_with("Attempt") => {
             format!(
@@ -177,8 +183,8 @@
         }
         (None, None) => match &line.evidence {
             Some(evidence) => format!(
-                "Ended under {} requests of this node: {evidence}, {} ms after \
-                 the first of them had broken off or was left.",
+                "Ended under {} requests of this node: {evidence}, {} ms \
+                 after the first of them broke off or was abandoned.",
                 line.requests, line.after_ms
             ),
             None => line.message.clone(),
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,7 +1,7 @@
-//! The command line `azuremount`: what operators do, and a caller's calls.
+//! The command line `azuremount`, for operators' commands and test calls.
 //!
-//! Exit codes: 0 done, 1 refused or failed, 2 wrong arguments or a
-//! configuration that does not check.
+//! Exit codes: 0 done, 1 refused or failed, 2 invalid arguments or
+//! configuration.
 
 pub mod explain;
 mod files;
@@ -13,13 +13,13 @@
 
 use crate::settings;
 
-/// Drives azuremount: checks and applies configurations, shows what is in
-/// force and what runs. --control can be given as AZUREMOUNT_CONTROL, --entry
-/// as AZUREMOUNT_ENTRIES. Exit codes: 0 done, 1 refused or failed, 2 wrong
-/// arguments or a configuration that does not check.
+/// Operates azuremount: checks and applies configurations, shows the
+/// configuration in force and the state of the system. --control can be given
+/// as AZUREMOUNT_CONTROL, --entry as AZUREMOUNT_ENTRIES. Exit codes: 0 done, 1
+/// refused or failed, 2 invalid arguments or configuration.
 #[derive(Debug, FromArgs)]
 pub struct Arguments {
-    /// print the version and stop
+    /// print the version and exit
     #[argh(switch)]
     version: bool,
     #[argh(subcommand)]
@@ -47,20 +47,20 @@
     folder: PathBuf,
 }
 
-/// Put a configuration in force at all sites, or at none.
+/// Apply a configuration at all sites, or at none.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "apply")]
 pub struct Apply {
     /// folder with base.toml and sites/*.toml
     #[argh(positional)]
     folder: PathBuf,
-    /// the revision that it was made from; 0 for the first
+    /// the revision that the change is based on; 0 for the first
     #[argh(option)]
     from_revision: u64,
-    /// name of this change; send the same one again when unsure
+    /// id of this change; use the same id to retry after an unknown outcome
     #[argh(option)]
     change_id: String,
-    /// return only when every serving entry reports it in force
+    /// wait until every entry reports the configuration in force
     #[argh(switch)]
     wait: bool,
     /// control members, as ip:port,ip:port
@@ -68,7 +68,7 @@
     control: Option<String>,
 }
 
-/// Show the configuration of one site, as it is in force.
+/// Show the configuration of one site that is in force.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "show")]
 pub struct Show {
@@ -80,7 +80,7 @@
     control: Option<String>,
 }
 
-/// Show members, entries, endpoints, and how many losses can be survived.
+/// Show members, entries, endpoints, and how many members control can lose.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct Status {
@@ -89,17 +89,17 @@
     control: Option<String>,
 }
 
-/// Give an endpoint no more work; its streams move.
+/// Drain an endpoint: it gets no new work, and its streams move.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "drain")]
 pub struct Drain {
     /// the endpoint's id
     #[argh(positional)]
     endpoint: String,
-    /// milliseconds that it goes on with what it has
+    /// milliseconds that the endpoint has to finish its requests
     #[argh(option, default = "20000")]
     within_ms: u64,
-    /// why, for the record
+    /// reason, recorded with the order
     #[argh(option, default = "String::from(\"drained by an operator\")")]
     reason: String,
     /// control members, as ip:port,ip:port
@@ -107,14 +107,14 @@
     control: Option<String>,
 }
 
-/// Say where a request went and why.
+/// Explain where a request was sent and why.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub struct Explain {
     /// the request's key; with --log also a replica's id
     #[argh(positional)]
     request: String,
-    /// a node's log: say what it tells, and ask nobody
+    /// read this log of a node instead of asking entries
     #[argh(option)]
     log: Option<PathBuf>,
     /// entries, as ip:port,ip:port
@@ -125,26 +125,26 @@
     control: Option<String>,
 }
 
-/// Make a call as a caller would.
+/// Send a request as a caller does.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "call")]
 pub struct Call {
-    /// the service, with a path for a plain one: alerts/send
+    /// the service; a plain service with a path, such as alerts/send
     #[argh(positional)]
     service: String,
-    /// the prompt, or the body
+    /// the prompt of a model call, or the body of a plain call
     #[argh(positional)]
     text: String,
-    /// the team that calls
+    /// the team that the request belongs to
     #[argh(option)]
     team: String,
-    /// name of the request; made up when not given
+    /// key of the request (default: random)
     #[argh(option)]
     key: Option<String>,
-    /// tokens of answer at most, for a model
+    /// maximum number of answer tokens, for a model
     #[argh(option, default = "256")]
     max_tokens: u64,
-    /// seconds to wait at most
+    /// maximum time to wait, in seconds
     #[argh(option, default = "30")]
     seconds: u64,
     /// entries, as ip:port,ip:port
@@ -152,12 +152,12 @@
     entry: Option<String>,
 }
 
-/// Why a command did not do what it was asked to.
+/// Why a command failed.
 #[derive(Debug)]
 enum Failure {
-    /// Wrong arguments, or a configuration that does not check.
-    Wrong(String),
-    /// Refused, or failed.
+    /// Invalid arguments or configuration; exit code 2.
+    Invalid(String),
+    /// Refused or failed; exit code 1.
     Failed(String),
 }
 
@@ -168,7 +168,7 @@
         return ExitCode::SUCCESS;
     }
     let Some(command) = arguments.command else {
-        eprintln!("a command is missing; see azuremount --help");
+        eprintln!("no command given; see azuremount --help");
         return ExitCode::from(settings::EXIT_SETTINGS);
     };
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -181,7 +181,7 @@
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Failure::Wrong(text)) => {
+        Err(Failure::Invalid(text)) => {
             eprintln!("{text}");
             ExitCode::from(settings::EXIT_SETTINGS)
         }
@@ -204,7 +204,7 @@
     }
 }
 
-fn addresses(
+fn parse_addresses(
     flag: &Option<String>,
     name: &str,
     variable: &str,
@@ -213,7 +213,7 @@
         .clone()
         .or_else(|| settings::from_environment(variable))
         .ok_or_else(|| {
-        Failure::Wrong(format!("{name} ({variable}): is missing"))
+        Failure::Invalid(format!("{name} ({variable}): is missing"))
     })?;
     text.split(',')
         .map(|part| {
@@ -222,7 +222,7 @@
                     "{name} ({variable}): {part:?} is not an address such \
                      as 10.0.0.1:7000"
                 );
-                Failure::Wrong(text)
+                Failure::Invalid(text)
             })
         })
         .collect()
--- a/src/cli/operate.rs
+++ b/src/cli/operate.rs
@@ -1,4 +1,4 @@
-//! The commands themselves.
+//! Implementation of the commands.
 
 use std::{
     fs,
@@ -13,8 +13,8 @@
 use tokio::time::sleep;
 
 use super::{
-    Apply, Call, Check, Drain, Explain, Failure, Show, Status, addresses,
-    files,
+    Apply, Call, Check, Drain, Explain, Failure, Show, Status, files,
+    parse_addresses,
 };
 use crate::{
     caller::{Caller, PlainCall},
@@ -29,13 +29,13 @@
     },
 };
 
-/// How long control may take.
-const LIMIT: Duration = Duration::from_secs(10);
-/// How long `--wait` waits for all entries.
-const WAIT_LIMIT: Duration = Duration::from_secs(30);
+/// Time after which a call to control fails.
+const CONTROL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time that `--wait` waits for all entries.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn control(flag: &Option<String>) -> Result<Client, Failure> {
-    let members = addresses(flag, "--control", "AZUREMOUNT_CONTROL")?;
+    let members = parse_addresses(flag, "--control", "AZUREMOUNT_CONTROL")?;
     Ok(Client::open(&members))
 }
 
@@ -48,7 +48,7 @@
     let configs = config::check(&base, &overlays).map_err(|problems| {
         let lines: Vec<String> =
             problems.iter().map(ToString::to_string).collect();
-        Failure::Wrong(lines.join("\n"))
+        Failure::Invalid(lines.join("\n"))
     })?;
     for config in configs {
         println!(
@@ -70,11 +70,13 @@
         base: Some(base),
         overlays,
     }));
-    // The change id makes a repeat harmless.
-    let outcome =
-        control.propose(change, LIMIT, true).await.map_err(failed)?;
+    // The change may be retried: control identifies it by its change id.
+    let outcome = control
+        .propose(change, CONTROL_TIMEOUT, true)
+        .await
+        .map_err(failed)?;
     let Some(outcome::Kind::Apply(applied)) = outcome.kind else {
-        return Err(failed("control gave no answer"));
+        return Err(failed("control returned no outcome for the change"));
     };
     use apply_outcome::Result as Applied;
     match Applied::try_from(applied.result) {
@@ -94,9 +96,9 @@
             )));
         }
         Ok(Applied::Invalid) => {
-            return Err(Failure::Wrong(applied.errors.join("\n")));
+            return Err(Failure::Invalid(applied.errors.join("\n")));
         }
-        Err(_) => return Err(failed("control gave an unknown answer")),
+        Err(_) => return Err(failed("control returned an unknown outcome")),
     }
     if arguments.wait {
         wait_in_force(&control, applied.revision).await?;
@@ -109,11 +111,11 @@
     control: &Client,
     revision: u64,
 ) -> Result<(), Failure> {
-    let give_up = Instant::now() + WAIT_LIMIT;
+    let deadline = Instant::now() + IN_FORCE_TIMEOUT;
     loop {
         let status = read_status(control).await?;
-        // An entry that does not serve yet may be about to, with an older
-        // revision in hand; it is waited for as well.
+        // Also wait for entries that do not serve yet: such an entry may start
+        // to serve with an older revision.
         let behind: Vec<&str> = status
             .entries
             .iter()
@@ -123,7 +125,7 @@
         if behind.is_empty() && !status.entries.is_empty() {
             return Ok(());
         }
-        if Instant::now() >= give_up {
+        if Instant::now() >= deadline {
             let text = format!("not yet in force at {}", behind.join(", "));
             return Err(failed(text));
         }
@@ -135,11 +137,14 @@
     let control = control(&arguments.control)?;
     let reply = read_config(&control).await?;
     let Some(base) = &reply.base else {
-        return Err(failed("there is no configuration yet"));
+        return Err(failed("no configuration is in force yet"));
     };
     let overlay = config::overlay_for(&reply.overlays, &arguments.site)
         .ok_or_else(|| {
-            failed(format!("no site {:?} in force", arguments.site))
+            failed(format!(
+                "the configuration in force has no site {:?}",
+                arguments.site
+            ))
         })?;
     let text = config::effective(base, overlay)
         .map_err(|problems| failed(format!("{problems:?}")))?;
@@ -210,14 +215,14 @@
         argument: arguments.within_ms.to_string(),
         reason: arguments.reason.clone(),
     }));
-    control.propose(order, LIMIT, true).await.map_err(failed)?;
+    control.propose(order, CONTROL_TIMEOUT, true).await.map_err(failed)?;
     let depart = Change::new(change::Kind::Depart(Depart {
         id: endpoint.id.clone(),
         incarnation: endpoint.incarnation,
         leaving: true,
         within_ms: arguments.within_ms,
     }));
-    control.propose(depart, LIMIT, true).await.map_err(failed)?;
+    control.propose(depart, CONTROL_TIMEOUT, true).await.map_err(failed)?;
     println!("{} gets no more work", endpoint.id);
     Ok(())
 }
@@ -227,9 +232,9 @@
         return explain_log(path, &arguments.request);
     }
     let entries =
-        addresses(&arguments.entry, "--entry", "AZUREMOUNT_ENTRIES")?;
+        parse_addresses(&arguments.entry, "--entry", "AZUREMOUNT_ENTRIES")?;
     let dispatcher = Dispatcher::open();
-    let mut known = false;
+    let mut is_known = false;
     for address in entries {
         let call = dispatch::Call {
             address,
@@ -246,7 +251,7 @@
         }
         let value: Value =
             serde_json::from_slice(&answer.body).map_err(failed)?;
-        known = true;
+        is_known = true;
         println!("at {address}:");
         println!(
             "  {} for {}, {} ({} pieces), run by {}",
@@ -256,26 +261,26 @@
             value["pieces"],
             text(&value["owner"]),
         );
-        for note in value["decisions"].as_array().into_iter().flatten() {
-            println!("  - {}", text(note));
+        for decision in value["decisions"].as_array().into_iter().flatten() {
+            println!("  - {}", text(decision));
         }
     }
     if arguments.control.is_some() {
-        known |= explain_claim(arguments).await?;
+        is_known |= explain_claim(arguments).await?;
     }
-    if known { Ok(()) } else { Err(failed("no entry knows the request")) }
+    if is_known { Ok(()) } else { Err(failed("no entry knows the request")) }
 }
 
 fn explain_log(path: &Path, id: &str) -> Result<(), Failure> {
     let log = fs::read_to_string(path).map_err(|error| {
-        Failure::Wrong(format!("{}: {error}", path.display()))
+        Failure::Invalid(format!("{}: {error}", path.display()))
     })?;
-    let told = super::explain::explain(log.lines(), id);
-    if told.is_empty() {
-        let text = format!("{}: no line of {id}", path.display());
+    let sentences = super::explain::explain(log.lines(), id);
+    if sentences.is_empty() {
+        let text = format!("{}: no line mentions {id}", path.display());
         return Err(Failure::Failed(text));
     }
-    told.iter().for_each(|line| println!("{line}"));
+    sentences.iter().for_each(|line| println!("{line}"));
     Ok(())
 }
 
@@ -283,7 +288,7 @@
     let control = control(&arguments.control)?;
     let key = arguments.request.clone();
     let query = Query { kind: Some(query::Kind::Claim(key)) };
-    let reply = control.read(query, LIMIT).await.map_err(failed)?;
+    let reply = control.read(query, CONTROL_TIMEOUT).await.map_err(failed)?;
     let Some(query_reply::Kind::Claim(claim)) = reply.kind else {
         return Ok(false);
     };
@@ -301,12 +306,12 @@
 
 pub async fn call(arguments: &Call) -> Result<(), Failure> {
     let entries =
-        addresses(&arguments.entry, "--entry", "AZUREMOUNT_ENTRIES")?;
+        parse_addresses(&arguments.entry, "--entry", "AZUREMOUNT_ENTRIES")?;
     let mut caller = Caller::open(&entries, &arguments.team);
-    let made_up = format!("call-{:016x}", random_id());
-    let key = arguments.key.as_deref().unwrap_or(&made_up);
+    let generated_key = format!("call-{:016x}", random_id());
+    let key = arguments.key.as_deref().unwrap_or(&generated_key);
     let limit = Duration::from_secs(arguments.seconds);
-    let say = |failed: Failed| {
+    let to_failure = |failed: Failed| {
         let verdict = failed.verdict.as_str();
         Failure::Failed(format!("{verdict}: {} (key {key})", failed.text))
     };
@@ -317,7 +322,7 @@
             key: Some(key),
             body: Bytes::from(arguments.text.clone()),
         };
-        let answer = caller.call(call, limit).await.map_err(say)?;
+        let answer = caller.call(call, limit).await.map_err(to_failure)?;
         println!("{}", String::from_utf8_lossy(&answer.body));
         return Ok(());
     }
@@ -330,7 +335,7 @@
         print!("{piece}");
         let _ = std::io::stdout().flush();
     };
-    caller.chat(&body, key, limit, print).await.map_err(say)?;
+    caller.chat(&body, key, limit, print).await.map_err(to_failure)?;
     println!();
     Ok(())
 }
@@ -341,18 +346,18 @@
 
 async fn read_status(control: &Client) -> Result<StatusReply, Failure> {
     let query = Query { kind: Some(query::Kind::Status(Empty {})) };
-    let reply = control.read(query, LIMIT).await.map_err(failed)?;
+    let reply = control.read(query, CONTROL_TIMEOUT).await.map_err(failed)?;
     match reply.kind {
         Some(query_reply::Kind::Status(status)) => Ok(status),
-        _ => Err(failed("control gave no status")),
+        _ => Err(failed("control returned no status")),
     }
 }
 
 async fn read_config(control: &Client) -> Result<ConfigReply, Failure> {
     let query = Query { kind: Some(query::Kind::Config(Empty {})) };
-    let reply = control.read(query, LIMIT).await.map_err(failed)?;
+    let reply = control.read(query, CONTROL_TIMEOUT).await.map_err(failed)?;
     match reply.kind {
         Some(query_reply::Kind::Config(config)) => Ok(config),
-        _ => Err(failed("control gave no configuration")),
+        _ => Err(failed("control returned no configuration")),
     }
 }
